--- /dev/null
+++ b/tests/cover/test_golden_forms.py
@@ -0,0 +1,247 @@
+"""Stored rows, objects, messages, settings and headers keep their form.
+
+`tests/golden/forms.json` was written by the code before its names were reworked.
+Every row and object that lies in a store, every message between processes and every
+header must come out the same, and what was written then must be read today. A form
+that changes on purpose is written anew by `python -m tests.cover.test_golden_forms`.
+"""
+
+import sys
+from base64 import b64encode
+from pathlib import Path
+from typing import Any
+
+import attrs
+import orjson
+import pytest
+
+from coursekeel.answers import (
+    AnswerRecord,
+    JournalEntry,
+    PriorJournal,
+    RecordState,
+    RunState,
+    Segment,
+    answer_key,
+    owned_key,
+)
+from coursekeel.calls import ClaimRow, ServiceReply, claim_key, fingerprint_of
+from coursekeel.fetch import ExchangeHead
+from coursekeel.intents import (
+    Change,
+    Configuration,
+    Plan,
+    intent_from_json,
+    intent_to_json,
+    plan_key,
+)
+from coursekeel.membership import GroupLease, LeaseTerms
+from coursekeel.peers import peer_pb2 as pb
+from coursekeel.settings import (
+    parse_gateway_settings,
+    parse_settings,
+    read_json_with_comments,
+)
+
+ROOT = Path(__file__).parents[2]
+GOLDEN = ROOT / "tests" / "golden" / "forms.json"
+
+sys.path.insert(0, str(ROOT / "platform"))
+
+RECORD = AnswerRecord(
+    "team-1",
+    "r-1",
+    "dossier",
+    "entry-1/7",
+    3,
+    12,
+    "g-1",
+    RecordState.INTERRUPTED,
+    model="m",
+    first_segment=4,
+    prior=PriorJournal("entry-0/2", "g-0", 1, 9),
+    prompt="p",
+    prompt_object="prompts/1",
+    result="r",
+    result_object="results/1",
+    finish_reason="stop",
+    error_code="interrupted",
+    held_tokens=5,
+    expires_at_s=1_700_000_000,
+)
+CLAIM = ClaimRow("calls/t/s/k", "a-1", "entry-1/7", "f" * 32, expires_at_s=9)
+SEGMENT = Segment(
+    "entry-1/7",
+    5,
+    (
+        JournalEntry(
+            "answers/t/r", "g-1", 2, [7, 8], ["a", "b"], "e-1", "run-1", "t/r/1"
+        ),
+    ),
+)
+GATEWAY = {
+    "instance_id": "g1",
+    "zone": "z",
+    "listen": {"callers": "127.0.0.1:1", "readiness": "127.0.0.1:2"},
+    "store": "127.0.0.1:3",
+    "timers": {"revoke_ms": 5_000, "drain_ms": 2_000, "grace_s": 8},
+    "retries": {"ratio": 0.2, "slack": 10, "window_s": 10},
+}
+
+
+def _intents() -> dict[str, Any]:
+    files = sorted((ROOT / "examples").glob("*-intent.json"))
+    return {each.name: read_json_with_comments(each) for each in files}
+
+
+def _plan() -> Plan:
+    intent = intent_from_json(_intents()["inspection-intent.json"])
+    return Plan("p-1", 4, intent, (Change("add", "model m", "d"),), 2, 90)
+
+
+def _leases() -> dict[str, Any]:
+    lease = GroupLease("leases/g", "entry-1/7", LeaseTerms(2_500, 500))
+    taken = lease.take(None, 0.0)
+    return {"take": [taken.expected, taken.writes]}
+
+
+def _messages() -> dict[str, str]:
+    mark = pb.LeavingMark(endpoint_id="e", incarnation="i")
+    messages = (
+        pb.Greeting(
+            instance_id="a",
+            incarnation="b",
+            seen_revision=3,
+            applied_revision=2,
+            leaving=True,
+            marks=[mark],
+        ),
+        pb.FollowRequest(
+            team="t", request_id="r", generation="g", position=7, digest=11
+        ),
+        pb.FollowReply(
+            found=True,
+            restart=True,
+            generation="g",
+            position=9,
+            digest=13,
+            tokens=[1, 2],
+            text="x",
+            stored=True,
+            finish_reason="stop",
+            error_code="c",
+            run="ran",
+            retry_after_ms=5,
+            moved=True,
+            held_tokens=4,
+        ),
+        pb.ConfigurationReply(revision=6, body=b"{}"),
+    )
+    return {
+        type(each).__name__: b64encode(each.SerializeToString()).decode()
+        for each in messages
+    }
+
+
+def _settings() -> dict[str, Any]:
+    found = {
+        file.name: attrs.asdict(parse_settings(read_json_with_comments(file), "f"))
+        for file in sorted((ROOT / "examples").glob("*.json"))
+        if "intent" not in file.name
+    }
+    return found | {"gateway": attrs.asdict(parse_gateway_settings(GATEWAY, "f"))}
+
+
+def _platform() -> dict[str, Any]:
+    """What the adapter writes to servers and reads from their answers."""
+    from _callers import PlatformCallers
+    from _endpoints import PlatformEndpoints
+
+    from coursekeel import gateway
+    from coursekeel.forwarding import EndpointRecord
+
+    outbound = getattr(gateway, "OutboundRequest", None) or gateway.Send
+    endpoints = PlatformEndpoints()
+    judge = getattr(endpoints, "judge", None) or endpoints.state
+    record = EndpointRecord("i-1", "p", "10.0.0.1", 80)
+    send = outbound(
+        record,
+        "r1",
+        "team-1",
+        900.7,
+        resume_after=3,
+        copy_to="10.0.0.3:80",
+        copy_from="10.0.0.2:80",
+        copied_run="r0",
+        urgent=True,
+    )
+    headers = endpoints.headers([(b"x-kept", b"1"), (b"tenant", b"no")], send)
+    heads = [
+        ExchangeHead(status, [(name, b"r1") for name in names])
+        for status in (200, 421, 429, 500, 503)
+        for names in ((), (b"request-id",), (b"not-executed",))
+    ]
+    caller = PlatformCallers().read(
+        [(b"authorization", b"bearer k"), (b"deadline-ms", b"5"), (b"request-id", b"r")]
+    )
+    return {
+        "headers": [[name.decode(), value.decode()] for name, value in headers],
+        "verdicts": [judge(head, "r1").value for head in heads],
+        "caller": attrs.astuple(caller),
+        "paths": [endpoints.report_path.decode(), PlatformCallers().readiness_path],
+    }
+
+
+def forms() -> dict[str, Any]:
+    """Every form, as JSON."""
+    settled = CLAIM.settled(RunState.RAN, ServiceReply(200, "text/plain", b"ok"))
+    made = {
+        "answer row": {"key": RECORD.key, "index": RECORD.index_key} | RECORD.to_row(),
+        "answer keys": [answer_key("t", "r"), owned_key("o", 3)],
+        "claim rows": [CLAIM.to_row(), settled.to_row()],
+        "claim keys": [claim_key("t", "s", "k"), fingerprint_of("POST", "/p", b"b")],
+        "segment": [SEGMENT.object_key, b64encode(SEGMENT.to_bytes()).decode()],
+        "plan": [plan_key("p-1"), _plan().to_json()],
+        "configuration": Configuration(5, _plan().intent, "p-1").to_json(),
+        "intents": {
+            name: intent_to_json(intent_from_json(value))
+            for name, value in _intents().items()
+        },
+        "leases": _leases(),
+        "messages": _messages(),
+        "settings": _settings(),
+        "platform": _platform(),
+    }
+    return orjson.loads(orjson.dumps(made, default=str))
+
+
+@pytest.fixture(scope="module")
+def golden() -> dict[str, Any]:
+    return orjson.loads(GOLDEN.read_bytes())
+
+
+@pytest.mark.parametrize("name", sorted(orjson.loads(GOLDEN.read_bytes())))
+def test_a_form_is_the_same_as_before(name, golden):
+    assert forms()[name] == golden[name]
+
+
+def test_no_form_is_left_out(golden):
+    assert set(forms()) == set(golden)
+
+
+def test_what_was_stored_before_is_read(golden):
+    from base64 import b64decode
+
+    row = dict(golden["answer row"])
+    assert (row.pop("key"), row.pop("index")) == (RECORD.key, RECORD.index_key)
+    assert AnswerRecord.from_row(row) == RECORD
+    assert ClaimRow.from_row(CLAIM.key, golden["claim rows"][0]) == CLAIM
+    assert Segment.from_bytes(b64decode(golden["segment"][1])) == SEGMENT
+    assert Plan.from_json(golden["plan"][1]) == _plan()
+    stored = Configuration.from_json(golden["configuration"])
+    assert stored == Configuration(5, _plan().intent, "p-1")
+
+
+if __name__ == "__main__":
+    GOLDEN.parent.mkdir(exist_ok=True)
+    GOLDEN.write_bytes(orjson.dumps(forms(), option=orjson.OPT_INDENT_2) + b"\n")
