--- a/src/coursekeel/forwarding/_directory.py
+++ b/src/coursekeel/forwarding/_directory.py
@@ -1,6 +1,6 @@
 """The endpoints an instance knows, and which of them may take new work now."""
 
-from collections.abc import Iterable
+from collections.abc import Collection, Iterable
 
 from attrs import define, field
 
@@ -77,10 +77,16 @@
         self._standing.pop(endpoint_id, None)
         self._versions.pop(endpoint_id, None)
 
-    def replace_all(self, records: Iterable[tuple[EndpointRecord, int]]) -> None:
-        """Take a whole list; what it doesn't name is gone."""
+    def replace_all(
+        self, records: Iterable[tuple[EndpointRecord, int]], kept: Collection[str] = ()
+    ) -> None:
+        """Take a whole list; what it doesn't name is gone.
+
+        ``kept`` are the ids that it names by entries that can't be read.
+        """
         listed = {record.endpoint_id: (record, ver) for record, ver in records}
-        for endpoint_id in [each for each in self._records if each not in listed]:
+        named = listed.keys() | set(kept)
+        for endpoint_id in [each for each in self._records if each not in named]:
             self.remove(endpoint_id, self._versions.get(endpoint_id, 0))
         for record, version in listed.values():
             self.put(record, version)
--- a/src/coursekeel/forwarding/_model.py
+++ b/src/coursekeel/forwarding/_model.py
@@ -64,7 +64,6 @@
     tries: int = 1
     timeout_ms: float = 30_000
     target_ms: float = 1_000
-    gap_ms: float = 1_000
     rank: int = 0
     anonymous: bool = False
 
@@ -83,7 +82,6 @@
 
     name: str
     copies: bool = False
-    slots: int = 0
 
 
 @frozen
@@ -101,8 +99,7 @@
 
     header_bytes: int = 16_384
     body_bytes: int = 4 << 20
-    header_timeout_ms: int = 3_000
-    idle_timeout_ms: int = 15_000
+    idle_timeout_ms: float = 15_000
 
 
 @frozen
--- a/src/coursekeel/gateway/__init__.py
+++ b/src/coursekeel/gateway/__init__.py
@@ -14,6 +14,8 @@
     Source,
     SourceFailed,
     Table,
+    UnreadableEntry,
+    UnreadableReport,
     Versioned,
 )
 from coursekeel.gateway._gateway import Gateway
@@ -33,5 +35,7 @@
     "Source",
     "SourceFailed",
     "Table",
+    "UnreadableEntry",
+    "UnreadableReport",
     "Versioned",
 ]
--- a/src/coursekeel/gateway/_adapters.py
+++ b/src/coursekeel/gateway/_adapters.py
@@ -27,6 +27,8 @@
     "Source",
     "SourceFailed",
     "Table",
+    "UnreadableEntry",
+    "UnreadableReport",
     "Versioned",
 ]
 
@@ -102,6 +104,13 @@
     runs: frozenset[str] = frozenset()
 
 
+@frozen
+class UnreadableReport:
+    """A report that can't be used; ``fault`` names the field and what was expected."""
+
+    fault: str
+
+
 class EndpointDialect(ABC):
     """How endpoints are spoken to."""
 
@@ -120,8 +129,8 @@
         """The headers that go back to the caller."""
 
     @abstractmethod
-    def read_report(self, body: bytes) -> EndpointReport | None:
-        """Read a report; None if it can't be read."""
+    def read_report(self, body: bytes) -> EndpointReport | UnreadableReport:
+        """Read a report."""
 
 
 class Table(Enum):
@@ -138,11 +147,23 @@
     entry_id: str
 
 
+@frozen
+class UnreadableEntry:
+    """The entry of this id can't be used; what was known of it before stays.
+
+    ``fault`` names the field and what was expected. The id is empty where even that
+    can't be read.
+    """
+
+    entry_id: str
+    fault: str
+
+
 @frozen
 class Versioned:
     """An entry as of a version of the store."""
 
-    entry: ForwardingConfiguration | EndpointRecord | Removed
+    entry: ForwardingConfiguration | EndpointRecord | Removed | UnreadableEntry
     version: int
 
 
--- a/src/coursekeel/gateway/_belief_task.py
+++ b/src/coursekeel/gateway/_belief_task.py
@@ -1,11 +1,14 @@
 """The tasks that keep configuration and endpoints as the store has them."""
 
+import logging
 from collections.abc import Callable
 from random import Random
+from traceback import format_exception
 
 from attrs import define
 from twisted.internet.task import deferLater
 
+from coursekeel.errors import InvariantBroken
 from coursekeel.forwarding import Belief, StoreClock, proof_moment
 from coursekeel.gateway._adapters import (
     HistoryGone,
@@ -65,12 +68,32 @@
     async def _run(self) -> None:
         while not self._stopped:
             failures, changes = self._failures, self._changes
-            await self._once()
+            await self._once_or_afresh()
             if self._failures > failures:
                 await deferLater(self.reactor, self._pause_s())
             elif self._changes > changes:
                 await deferLater(self.reactor, self.gathering_ms / 1000)
 
+    async def _once_or_afresh(self) -> None:
+        """A fault of this program must not end the following for good.
+
+        Seen in a trial: a row that raised in here left the instance ready, and blind to
+        every later change. What was read is in doubt then, so all of it is read again.
+        """
+        try:
+            await self._once()
+        except InvariantBroken:
+            raise
+        except Exception as failure:
+            log_event(
+                "follow_failed",
+                logging.ERROR,
+                table=self.table.value,
+                error="".join(format_exception(failure)),
+            )
+            self._version = None
+            self._failures += 1
+
     async def _once(self) -> None:
         sent_ms = self.clock.now_ms()
         held_ms = 0.0
--- a/src/coursekeel/gateway/_readings.py
+++ b/src/coursekeel/gateway/_readings.py
@@ -1,5 +1,6 @@
 """What readings of the store change: routes, keys, and the list of endpoints."""
 
+import logging
 from collections.abc import Callable
 from typing import Any
 
@@ -11,7 +12,13 @@
     ForwardingConfiguration,
     RouteTable,
 )
-from coursekeel.gateway._adapters import Reading, Removed
+from coursekeel.gateway._adapters import (
+    Reading,
+    Removed,
+    Table,
+    UnreadableEntry,
+    Versioned,
+)
 from coursekeel.gateway._desk import Desk
 from coursekeel.observe import log_event
 from coursekeel.reactor import Reactor
@@ -36,8 +43,11 @@
     def configured(self, reading: Reading) -> None:
         """Take a configuration; one that isn't newer is passed over."""
         for each in reading.entries:
-            if isinstance(each.entry, ForwardingConfiguration):
-                self._take_configuration(each.entry)
+            match each.entry:
+                case ForwardingConfiguration():
+                    self._take_configuration(each.entry)
+                case UnreadableEntry():
+                    _log_unreadable(Table.CONFIGURATION, each.entry, each.version)
 
     def _take_configuration(self, configuration: ForwardingConfiguration) -> None:
         table = self.desk.table
@@ -55,18 +65,26 @@
         """Take the whole list of endpoints, or changes of it."""
         self.list_known = True
         if reading.whole:
-            pairs = [
-                (each.entry, each.version)
-                for each in reading.entries
-                if isinstance(each.entry, EndpointRecord)
-            ]
-            self.directory.replace_all(pairs)
+            self._take_list(reading)
         else:
             for each in reading.entries:
-                self._take_record(each.entry, each.version)
+                self._take_entry(each)
         self.endpoints_changed()
 
-    def _take_record(self, entry: object, version: int) -> None:
+    def _take_list(self, reading: Reading) -> None:
+        pairs: list[tuple[EndpointRecord, int]] = []
+        unreadable: list[str] = []
+        for each in reading.entries:
+            match each.entry:
+                case EndpointRecord():
+                    pairs.append((each.entry, each.version))
+                case UnreadableEntry():
+                    unreadable.append(each.entry.entry_id)
+                    _log_unreadable(Table.ENDPOINTS, each.entry, each.version)
+        self.directory.replace_all(pairs, kept=unreadable)
+
+    def _take_entry(self, versioned: Versioned) -> None:
+        entry, version = versioned.entry, versioned.version
         match entry:
             case EndpointRecord():
                 if entry.leaving:
@@ -75,6 +93,8 @@
             case Removed():
                 log_event("endpoint_gone", endpoint=entry.entry_id)
                 self.directory.remove(entry.entry_id, version)
+            case UnreadableEntry():
+                _log_unreadable(Table.ENDPOINTS, entry, version)
 
     def list_came_back(self, lost_for_ms: float) -> None:
         """Entries lapse while the store is away, and the living register again."""
@@ -99,3 +119,14 @@
         router = self.routing.router
         router.configure(directory.pools(), directory.zones(), directory.slots())
         self.routing.review()
+
+
+def _log_unreadable(table: Table, entry: UnreadableEntry, version: int) -> None:
+    log_event(
+        "row_unreadable",
+        logging.WARNING,
+        table=table.value,
+        key=entry.entry_id,
+        version=version,
+        fault=entry.fault,
+    )
--- a/src/coursekeel/gateway/_report_task.py
+++ b/src/coursekeel/gateway/_report_task.py
@@ -1,5 +1,6 @@
 """Asks endpoints for their load, when a request is about to be placed."""
 
+import logging
 from collections.abc import Callable
 from functools import partial
 from typing import Any
@@ -9,8 +10,9 @@
 from coursekeel.fetch import Ending, Exchange, ExchangeHead, ExchangeRequest
 from coursekeel.fetch import ExchangeSink as Sink
 from coursekeel.forwarding import EndpointRecord
-from coursekeel.gateway._adapters import EndpointReport
+from coursekeel.gateway._adapters import EndpointReport, UnreadableReport
 from coursekeel.gateway._ports import ForwardingPorts
+from coursekeel.observe import log_event
 from coursekeel.routing import LoadReport
 
 __all__ = ["ReportTask"]
@@ -89,8 +91,16 @@
             self.told(None)
             return
         report = self.ports.dialect.read_report(b"".join(self._body))
-        if report is not None:
-            self._feed(report)
+        if isinstance(report, UnreadableReport):
+            log_event(
+                "report_unreadable",
+                logging.WARNING,
+                endpoint=self.record.endpoint_id,
+                fault=report.fault,
+            )
+            self.told(None)
+            return
+        self._feed(report)
         self.told(report)
 
     def _feed(self, report: EndpointReport) -> None:
--- a/tests/cover/test_golden_forms.py
+++ b/tests/cover/test_golden_forms.py
@@ -1,12 +1,11 @@
-"""Stored rows, objects, messages, settings and headers keep their form.
+"""Stored rows, objects, messages and settings keep their form.
 
 `tests/golden/forms.json` was written by the code before its names were reworked.
-Every row and object that lies in a store, every message between processes and every
-header must come out the same, and what was written then must be read today. A form
+Every row and object that lies in a store and every message between processes must come
+out the same, and what was written then must be read today. A form
 that changes on purpose is written anew by `python -m tests.cover.test_golden_forms`.
 """
 
-import sys
 from base64 import b64encode
 from pathlib import Path
 from typing import Any
@@ -26,7 +25,6 @@
     owned_key,
 )
 from coursekeel.calls import ClaimRow, ServiceReply, claim_key, fingerprint_of
-from coursekeel.fetch import ExchangeHead
 from coursekeel.intents import (
     Change,
     Configuration,
@@ -46,8 +44,6 @@
 ROOT = Path(__file__).parents[2]
 GOLDEN = ROOT / "tests" / "golden" / "forms.json"
 
-sys.path.insert(0, str(ROOT / "platform"))
-
 RECORD = AnswerRecord(
     "team-1",
     "r-1",
@@ -152,46 +148,6 @@
     return found | {"gateway": attrs.asdict(parse_gateway_settings(GATEWAY, "f"))}
 
 
-def _platform() -> dict[str, Any]:
-    """What the adapter writes to servers and reads from their answers."""
-    from _callers import PlatformCallers
-    from _endpoints import PlatformEndpoints
-
-    from coursekeel import gateway
-    from coursekeel.forwarding import EndpointRecord
-
-    outbound = getattr(gateway, "OutboundRequest", None) or gateway.Send
-    endpoints = PlatformEndpoints()
-    judge = getattr(endpoints, "judge", None) or endpoints.state
-    record = EndpointRecord("i-1", "p", "10.0.0.1", 80)
-    send = outbound(
-        record,
-        "r1",
-        "team-1",
-        900.7,
-        resume_after=3,
-        copy_to="10.0.0.3:80",
-        copy_from="10.0.0.2:80",
-        copied_run="r0",
-        urgent=True,
-    )
-    headers = endpoints.headers([(b"x-kept", b"1"), (b"tenant", b"no")], send)
-    heads = [
-        ExchangeHead(status, [(name, b"r1") for name in names])
-        for status in (200, 421, 429, 500, 503)
-        for names in ((), (b"request-id",), (b"not-executed",))
-    ]
-    caller = PlatformCallers().read(
-        [(b"authorization", b"bearer k"), (b"deadline-ms", b"5"), (b"request-id", b"r")]
-    )
-    return {
-        "headers": [[name.decode(), value.decode()] for name, value in headers],
-        "verdicts": [judge(head, "r1").value for head in heads],
-        "caller": attrs.astuple(caller),
-        "paths": [endpoints.report_path.decode(), PlatformCallers().readiness_path],
-    }
-
-
 def forms() -> dict[str, Any]:
     """Every form, as JSON."""
     settled = CLAIM.settled(RunState.RAN, ServiceReply(200, "text/plain", b"ok"))
@@ -210,7 +166,6 @@
         "leases": _leases(),
         "messages": _messages(),
         "settings": _settings(),
-        "platform": _platform(),
     }
     return orjson.loads(orjson.dumps(made, default=str))
 
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -6,7 +6,7 @@
 import pytest
 
 from standins.site import wait_until
-from tests.platform.site import KEY, events, read, running_gateway
+from tests.platform.site import KEY, configuration, events, read, running_gateway
 
 
 @pytest.fixture(scope="module")
@@ -277,6 +277,27 @@
         site.put_server(number)
 
 
+def test_rows_that_cannot_be_read_stop_no_following(site):
+    """Seen in a trial: after such a row a leaving server got new requests for good."""
+    bad = site.server_row(3)[2] | {"address": 7}
+    site.version += 1
+    unreadable = configuration(site.version) | {"version": str(site.version)}
+    site.put([("servers", "bad", bad), ("op", "config", unreadable)])
+    wait_until(lambda: site.log().count("row_unreadable") >= 2, "seen", 3)
+    leaving_before = site.log().count("endpoint_leaving endpoint=s3")
+    site.put_server(3, "draining")
+    wait_until(
+        lambda: site.log().count("endpoint_leaving endpoint=s3") > leaving_before,
+        "the table is followed on",
+        3,
+    )
+    assert site.ask("/again/x").status == 200
+    site.configure(keys=(KEY, "key-4"))
+    wait_until(lambda: site.ask("/again/x", key="key-4").status == 200, "in force", 2)
+    site.put([("servers", "bad", None)])
+    site.put_server(3)
+
+
 def test_an_address_of_another_incarnation_is_left(site):
     site.put([("servers", "s3", None)])
     row = {
--- /dev/null
+++ b/tests/platform/test_golden_headers.py
@@ -0,0 +1,58 @@
+"""What the adapter writes to servers, and reads of callers and answers, is as before.
+
+`tests/golden/platform.json` was written by the code before its names were reworked.
+"""
+
+import sys
+from typing import Any
+
+import attrs
+import orjson
+import pytest
+
+from coursekeel import gateway
+from coursekeel.fetch import ExchangeHead
+from coursekeel.forwarding import EndpointRecord
+from tests.platform.site import ROOT
+
+sys.path.insert(0, str(ROOT / "platform"))
+
+from _callers import PlatformCallers
+from _endpoints import PlatformEndpoints
+
+GOLDEN = orjson.loads((ROOT / "tests" / "golden" / "platform.json").read_bytes())
+
+
+def written() -> dict[str, Any]:
+    endpoints = PlatformEndpoints()
+    send = gateway.Send(
+        EndpointRecord("i-1", "p", "10.0.0.1", 80),
+        "r1",
+        "team-1",
+        900.7,
+        resume_after=3,
+        copy_to="10.0.0.3:80",
+        copy_from="10.0.0.2:80",
+        copied_run="r0",
+        urgent=True,
+    )
+    headers = endpoints.headers([(b"x-kept", b"1"), (b"tenant", b"no")], send)
+    heads = [
+        ExchangeHead(status, [(name, b"r1") for name in names])
+        for status in (200, 421, 429, 500, 503)
+        for names in ((), (b"request-id",), (b"not-executed",))
+    ]
+    caller = PlatformCallers().read(
+        [(b"authorization", b"bearer k"), (b"deadline-ms", b"5"), (b"request-id", b"r")]
+    )
+    return {
+        "headers": [[name.decode(), value.decode()] for name, value in headers],
+        "verdicts": [endpoints.state(head, "r1").value for head in heads],
+        "caller": list(attrs.astuple(caller)),
+        "paths": [endpoints.report_path.decode(), PlatformCallers().readiness_path],
+    }
+
+
+@pytest.mark.parametrize("name", sorted(GOLDEN))
+def test_what_is_written_is_the_same_as_before(name):
+    assert written()[name] == GOLDEN[name]
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -7,7 +7,7 @@
 
 from coursekeel.fetch import ExchangeHead
 from coursekeel.forwarding import EndpointRecord, RouteKind
-from coursekeel.gateway import RunState, Send
+from coursekeel.gateway import RunState, Send, UnreadableReport
 from tests.platform.site import ROOT, configuration, route
 
 sys.path.insert(0, str(ROOT / "platform"))
@@ -15,6 +15,7 @@
 from _callers import PlatformCallers
 from _configuration import configuration_of, endpoint_of
 from _endpoints import PlatformEndpoints
+from _forms import ConfigurationForm, ServerForm, Unreadable, decode_json
 
 REPORT = {"queued": 1, "running": 3, "kv-used": 40, "kv-total": 90}
 
@@ -31,10 +32,11 @@
     assert report(runs=[["a", 1, 1, 5]] * 5).unread_runs == 1
 
 
-def test_a_report_that_cannot_be_read_is_none():
-    assert PlatformEndpoints().read_report(b"{") is None
-    assert PlatformEndpoints().read_report(b"[]") is None
-    assert PlatformEndpoints().read_report(b"{}") is None
+@pytest.mark.parametrize("body", [b"{", b"[]", b"{}"])
+def test_a_report_that_cannot_be_read_says_what_was_expected(body):
+    read = PlatformEndpoints().read_report(body)
+    assert isinstance(read, UnreadableReport)
+    assert read.fault
 
 
 def head(status: int, **headers: str) -> ExchangeHead:
@@ -122,8 +124,16 @@
     assert (nothing.key, nothing.request_id, nothing.prompt_key) == ("", "", "")
 
 
+def read_configuration(body):
+    return configuration_of(decode_json(orjson.dumps(body), ConfigurationForm))
+
+
+def read_server(body):
+    return endpoint_of("i-1", decode_json(orjson.dumps(body), ServerForm))
+
+
 def test_a_configuration_is_read_whole():
-    read = configuration_of(configuration())
+    read = read_configuration(configuration())
     kinds = {each.name: each.kind for each in read.routes}
     assert kinds["stream"] is RouteKind.RESUMABLE
     assert kinds["once"] is RouteKind.SINGLE
@@ -137,7 +147,7 @@
 
 def test_a_stream_that_may_not_be_resumed_runs_once():
     once = configuration() | {"routes": [route("s", "streaming", "engines")]}
-    (only,) = configuration_of(once).routes
+    (only,) = read_configuration(once).routes
     assert only.kind is RouteKind.STREAM
     assert not only.kind.idempotent
 
@@ -146,7 +156,7 @@
     split = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
     body = route("s", "idempotent", "")
     del body["service"]
-    read = configuration_of(
+    read = read_configuration(
         configuration() | {"routes": [body | {"traffic-split": split}]}
     )
     assert [(p.pool, p.weight) for p in read.routes[0].pools] == [("a", 90), ("b", 10)]
@@ -154,8 +164,8 @@
 
 def test_a_servers_row_is_read_and_any_state_but_ready_is_leaving():
     row = {"service": "p", "address": "10.0.0.1:80", "state": "draining"}
-    read = endpoint_of("i-1", row)
+    read = read_server(row)
     assert (read.host, read.port, read.leaving) == ("10.0.0.1", 80, True)
-    assert not endpoint_of("i-1", row | {"state": "ready"}).leaving
-    with pytest.raises(ValueError):
-        endpoint_of("i-1", row | {"address": "nowhere"})
+    assert not read_server(row | {"state": "ready"}).leaving
+    with pytest.raises(Unreadable, match="expected host:port"):
+        read_server(row | {"address": "nowhere"})
--- a/tests/quality/test_deployment.py
+++ b/tests/quality/test_deployment.py
@@ -43,13 +43,18 @@
 
 def test_the_platforms_folder_holds_no_decision():
     """It imports nothing that decides, waits or opens a socket by itself."""
+    # attrs holds data, and of http only the names of statuses are used.
     allowed = {"coursekeel", "orjson", "base64", "os", "pathlib", "sys", "typing"}
+    allowed |= {"attrs", "collections"}
     for file in (ROOT / "platform").glob("*.py"):
         for node in ast.walk(ast.parse(file.read_text())):
             if isinstance(node, ast.ImportFrom):
                 name = node.module or ""
                 ours = name.startswith(("_", "coursekeel."))
-                assert ours or name.split(".")[0] in {*allowed, "urllib"}, file
+                names = {each.name for each in node.names}
+                status = name == "http" and names == {"HTTPStatus"}
+                known = name.split(".")[0] in {*allowed, "urllib"}
+                assert ours or known or status, file
                 assert not name.startswith("coursekeel.routing"), file
             elif isinstance(node, ast.Import):
                 for each in node.names:
