--- a/src/coursekeel/entry/answers/_answer_task.py
+++ b/src/coursekeel/entry/answers/_answer_task.py
@@ -1,7 +1,5 @@
 """The task that owns one answer: its core, its streams to engines, its readers."""
 
-import math
-from collections import deque
 from collections.abc import Callable
 from typing import Any
 
@@ -27,11 +25,9 @@
     ReadingResumed,
     RunState,
     SeekEndpoint,
-    SetAlarm,
     Started,
     StopWork,
     StreamHead,
-    Tick,
     TokensArrived,
     Way,
 )
@@ -48,12 +44,19 @@
 from coursekeel.observe import Metrics
 from coursekeel.reactor import Reactor
 from coursekeel.routing import Decision, Grant, Seek
-from coursekeel.runtime import Clock, RoutingTask, spawn
+from coursekeel.runtime import (
+    AnswerDriver,
+    AnswerShell,
+    Clock,
+    RoutingTask,
+    spawn,
+)
 
 __all__ = ["AnswerPorts", "AnswerTask"]
 
-_LATE_ALARM_MS = 250
-_HELD_LOOK_MS = 500
+# An alarm this late tells of a pause of this process. Less than the least silence that
+# a profile judges by (`silence_floor_ms`, 400). Chosen, not measured.
+_OWN_PAUSE_MS = 250.0
 _MESSAGES = {
     "interrupted": "no endpoint could go on with the answer in time",
     "request_stops_engines": "engines died while they ran this request",
@@ -84,7 +87,7 @@
 
 
 @define(eq=False)
-class AnswerTask(StreamOwner, FollowedAnswer):
+class AnswerTask(StreamOwner, FollowedAnswer, AnswerShell):
     """One answer at work. Messages are taken one at a time, in order."""
 
     request: GenerationRequest
@@ -100,19 +103,19 @@
     unsettled: bool = False
     followers: list[Follower[Any]] = field(factory=list)
     arrived_ms: float = field(init=False)
-    _messages: deque[Event] = field(factory=deque)
-    _busy: bool = False
+    _driver: AnswerDriver = field(init=False)
     _open: dict[int, OpenStream] = field(factory=dict)
     _ticket: int | None = None
     _seek_made: Seek | None = None
     _granted: str = ""
-    _alarm: Any = None
-    _alarm_ms: float = math.inf
     _measures: AnswerMeasures = field(init=False)
-    _held: bool = False
 
     def __attrs_post_init__(self) -> None:
-        self.arrived_ms = self.ports.clock.now_ms()
+        ports = self.ports
+        self.arrived_ms = ports.clock.now_ms()
+        self._driver = AnswerDriver(
+            self.core, self, ports.reactor, ports.clock, _OWN_PAUSE_MS
+        )
         self._measures = AnswerMeasures(
             self.request, self.core.label, self.ports.metrics, self.arrived_ms
         )
@@ -175,27 +178,18 @@
     # Messages.
 
     def tell(self, event: Event, now_ms: float | None = None) -> None:
-        """Take a message; actions it leads to are carried out before the next one.
+        """Take an event; actions it leads to are carried out before the next one.
 
         ``now_ms`` spares reading the clock twice for a line of tokens.
         """
-        self._messages.append(event)
         if isinstance(event, Started):
             self.begun = True
-        if self._busy:
-            return
-        self._busy = True
-        try:
-            while self._messages:
-                message = self._messages.popleft()
-                at_ms = self.ports.clock.now_ms() if now_ms is None else now_ms
-                now_ms = None
-                for action in self.core.handle(message, at_ms):
-                    self._carry_out(action, at_ms)
-                if isinstance(message, Granted):
-                    self._return_grant()
-        finally:
-            self._busy = False
+        self._driver.tell(event, now_ms)
+
+    def event_taken(self, event: Event, actions: list[Action]) -> None:
+        """Give back a place that was granted and not taken."""
+        if isinstance(event, Granted):
+            self._return_grant()
 
     def head(self, attempt: int, head: StreamHead) -> None:
         """A stream opened."""
@@ -238,12 +232,13 @@
 
     def endpoint_silent(self, endpoint_id: str) -> None:
         """The whole endpoint fell silent."""
-        if not self._held:
+        if not self._driver.reading_held:
             self.tell(EndpointSilent(endpoint_id))
 
     # Actions.
 
-    def _carry_out(self, action: Action, now_ms: float) -> None:
+    def carry_out(self, action: Action, now_ms: float) -> None:
+        """Do what the core asks for."""
         match action:
             case Deliver():
                 self._delivered(now_ms)
@@ -253,8 +248,6 @@
                 self._open_attempt(action)
             case CancelAttempt():
                 self._cancel(action)
-            case SetAlarm():
-                self._set_alarm(action.at_ms)
             case Complete():
                 self._end()
             case Interrupt():
@@ -384,7 +377,7 @@
         engine = self.ports.engine(place)
         if engine is None:
             return ""
-        self._messages.append(CopyPlaced(action.attempt, place))
+        self.tell(CopyPlaced(action.attempt, place))
         return engine.address
 
     def _order(self, action: OpenAttempt, copy_to: str) -> GenerationOrder:
@@ -419,25 +412,6 @@
             run_ms = self.ports.clock.now_ms() - opened.opened_ms
             self.ports.routing.released(opened.endpoint_id, run_ms)
 
-    def _set_alarm(self, at_ms: float) -> None:
-        """One timer an answer, moved only when the alarm comes earlier."""
-        if self._alarm is not None and self._alarm.active():
-            self._alarm.cancel()
-        self._alarm_ms = at_ms
-        if math.isfinite(at_ms):
-            delay_ms = max(0.0, at_ms - self.ports.clock.now_ms())
-            self._alarm = self.ports.reactor.callLater(delay_ms / 1000, self._rings)
-
-    def _rings(self) -> None:
-        late_ms = self.ports.clock.now_ms() - self._alarm_ms
-        if self._held:
-            self._set_alarm(self.ports.clock.now_ms() + _HELD_LOOK_MS)
-        elif late_ms > _LATE_ALARM_MS:
-            # This process was paused: what it didn't read is no silence of others.
-            self.tell(ReadingResumed())
-        else:
-            self.tell(Tick())
-
     # Back pressure.
 
     def _hold_or_read(self) -> None:
@@ -451,9 +425,9 @@
             ahead = max(each.cursor for each in self.followers)
             lead = self.ledger.next_position - ahead
         hold = lead > self.ports.caller_lead_tokens
-        if hold == self._held:
+        if hold == self._driver.reading_held:
             return
-        self._held = hold
+        self._driver.reading_held = hold
         for each in self._open.values():
             if hold:
                 each.stream.pause()
@@ -465,7 +439,7 @@
     # The end.
 
     def _end(self) -> None:
-        self._set_alarm(math.inf)
+        self._driver.stop_alarm()
         if self._ticket is not None:
             self.ports.routing.withdraw(self._ticket)
             self._ticket = None
--- a/src/coursekeel/gateway/_stream_task.py
+++ b/src/coursekeel/gateway/_stream_task.py
@@ -5,8 +5,7 @@
 availability zone, and a lost run goes on from it.
 """
 
-from collections import deque
-from typing import Any
+import math
 
 from attrs import define, field
 
@@ -27,13 +26,10 @@
     Interrupt,
     Loss,
     OpenAttempt,
-    ReadingResumed,
     SeekEndpoint,
-    SetAlarm,
     Started,
     StopWork,
     StreamHead,
-    Tick,
     Way,
 )
 from coursekeel.answers import RunState as Run
@@ -50,18 +46,20 @@
 from coursekeel.gateway._report_task import ReportTask
 from coursekeel.gateway._stream_attempt import AttemptOwner, StreamAttempt
 from coursekeel.routing import Decision, Grant
+from coursekeel.runtime import AnswerDriver, AnswerShell
 
 __all__ = ["StreamTask"]
 
 _RETRY_AFTER_MS = 150.0
 _ELSEWHERE_MS = 50.0
+# An alarm this late tells of a pause of this process. Less than `silence_ms`, so that a
+# pause isn't taken for the silence of every endpoint at once. Chosen, not measured.
 _OWN_PAUSE_MS = 100.0
-_NEVER_MS = 1e12
 _OK = 200
 
 
 @define(eq=False)
-class StreamTask(AttemptOwner):
+class StreamTask(AttemptOwner, AnswerShell):
     """Drives one stream from its request to its last event."""
 
     ports: ForwardingPorts
@@ -69,10 +67,8 @@
     call: Forwarded
     reply: CallerReply
     core: AnswerCore[EventLedger] = field(init=False)
-    _messages: deque[Event] = field(factory=deque)
-    _busy: bool = False
+    _driver: AnswerDriver = field(init=False)
     _open: dict[int, StreamAttempt] = field(factory=dict)
-    _alarm: Any = None
     _refused: str = ""
     _retry_after_ms: float = _RETRY_AFTER_MS
     _lost_ms: float | None = None
@@ -87,8 +83,8 @@
         now_ms = self.ports.clock.now_ms()
         policy = AnswerPolicy(
             patience_ms=max(int(call.due_ms - now_ms), 1),
-            first_token_ms=_NEVER_MS,
-            silence_ms=timers.silence_ms if resumable else _NEVER_MS,
+            first_token_ms=math.inf,
+            silence_ms=timers.silence_ms if resumable else math.inf,
             races=False,
             deaths_before_stop=max(call.route.tries, 1) if resumable else 1,
             own_stream_tries=0,
@@ -100,6 +96,9 @@
             policy,
             EventLedger(call.caller.resume_after or 0),
         )
+        self._driver = AnswerDriver(
+            self.core, self, self.ports.reactor, self.ports.clock, _OWN_PAUSE_MS
+        )
 
     def start(self) -> None:
         """Begin; the reply comes by itself."""
@@ -109,23 +108,15 @@
 
     def tell(self, event: Event) -> None:
         """Take an event; what comes while one is being taken waits its turn."""
-        self._messages.append(event)
-        if self._busy:
-            return
-        self._busy = True
-        while self._messages:
-            self._take_one(self._messages.popleft())
-        self._busy = False
+        self._driver.tell(event)
 
-    def _take_one(self, event: Event) -> None:
-        actions = self.core.handle(event, self.ports.clock.now_ms())
+    def event_taken(self, event: Event, actions: list[Action]) -> None:
+        """Give back a place that is granted when a copy has taken the run up."""
         if isinstance(event, Granted) and not _opens(actions):
-            # A copy took the run up meanwhile, so the place isn't needed.
             self._placement.give_back(event.endpoint_id)
-        for action in actions:
-            self._carry_out(action)
 
-    def _carry_out(self, action: Action) -> None:
+    def carry_out(self, action: Action, now_ms: float) -> None:
+        """Do what the core asks for."""
         match action:
             case SeekEndpoint():
                 self._begin_seek(action)
@@ -139,8 +130,6 @@
                 self._complete()
             case Interrupt():
                 self._interrupt(action)
-            case SetAlarm():
-                self._set_alarm(action.at_ms)
             case StopWork():
                 self._stop_work()
 
@@ -166,7 +155,7 @@
             self._send(action, record)
             return
         self._give_back(action)
-        self._messages.append(AttemptEnded(action.attempt, Loss.NOT_SENT))
+        self.tell(AttemptEnded(action.attempt, Loss.NOT_SENT))
 
     def _may_send(self) -> bool:
         """Say whether a run may be sent now; if not, the next search is refused."""
@@ -198,7 +187,7 @@
             ports.routing.router.adopt(action.endpoint_id)
         copy = self._placement.place_copy(
             action,
-            lambda place: self._messages.append(CopyPlaced(action.attempt, place)),
+            lambda place: self.tell(CopyPlaced(action.attempt, place)),
         )
         position = self.core.ledger.next_position
         from_copy = action.way is Way.COPY
@@ -326,25 +315,7 @@
         self._placement.stop()
         for number in list(self._open):
             self._cancel(number)
-        if self._alarm is not None and self._alarm.active():
-            self._alarm.cancel()
-
-    # Time.
-
-    def _set_alarm(self, at_ms: float) -> None:
-        if self._alarm is not None and self._alarm.active():
-            self._alarm.cancel()
-        if at_ms >= _NEVER_MS:
-            return
-        wait_ms = max(at_ms - self.ports.clock.now_ms(), 0.0)
-        self._alarm = self.ports.reactor.callLater(wait_ms / 1000, self._ring, at_ms)
-
-    def _ring(self, due_ms: float) -> None:
-        if self.core.ended:
-            return
-        late_ms = self.ports.clock.now_ms() - due_ms
-        # A process that stood still hasn't read what came meanwhile.
-        self.tell(ReadingResumed() if late_ms > _OWN_PAUSE_MS else Tick())
+        self._driver.stop_alarm()
 
     def _say(self, code: str, status: int) -> None:
         self.ports.metrics.ended(
