--- a/src/coursekeel/answers/_journal.py
+++ b/src/coursekeel/answers/_journal.py
@@ -14,6 +14,8 @@
 
 __all__ = ["JournalEntry", "JournalReader", "JournalWriter", "Segment"]
 
+# zlib's fastest level: segments are small, and written while answers run. Chosen, not
+# measured.
 _FAST = 1
 
 
--- a/src/coursekeel/answers/_records.py
+++ b/src/coursekeel/answers/_records.py
@@ -8,6 +8,8 @@
 
 __all__ = ["AnswerRecord", "PriorJournal", "RecordState", "answer_key", "owned_key"]
 
+# Enough that keys sort by number for a process that orders a million answers a second
+# for a week. A stored form: it can't change.
 _ORDER_DIGITS = 12
 
 
--- a/src/coursekeel/calls/_reply.py
+++ b/src/coursekeel/calls/_reply.py
@@ -4,6 +4,7 @@
 
 __all__ = ["ServiceReply"]
 
+# The first status of a server's own failures (RFC 9110). A core imports no http.
 _FIRST_FAILURE = 500
 
 
--- a/src/coursekeel/endpoints/_http_engine.py
+++ b/src/coursekeel/endpoints/_http_engine.py
@@ -1,5 +1,6 @@
 """Engines met over HTTP: JSON requests, streams of JSON lines."""
 
+from http import HTTPStatus
 from typing import Any
 
 import orjson
@@ -26,8 +27,8 @@
 from coursekeel.fetch import (
     AnswerLost,
     Fetcher,
+    HttpReply,
     NotReached,
-    Reply,
     direct_agent,
 )
 from coursekeel.intents import ModelName
@@ -35,8 +36,8 @@
 
 __all__ = ["HttpEngine"]
 
-_OK = 200
-_OLD_EPOCH = 409
+# An engine that checks epochs refuses an order under an old one so.
+_OLD_EPOCH = HTTPStatus.CONFLICT
 _LINE_LIMIT_BYTES = 1 << 20
 _JSON = Headers({"content-type": ["application/json"]})
 
@@ -79,7 +80,7 @@
         if self._over:
             response.deliverBody(_Discard())
             return
-        if response.code != _OK:
+        if response.code != HTTPStatus.OK:
             response.deliverBody(_Discard())
             self.lost(Loss.REFUSED)
             return
@@ -226,15 +227,19 @@
             return OrderOutcome.UNSURE
         if answer.status == _OLD_EPOCH:
             return OrderOutcome.OLD_EPOCH
-        return OrderOutcome.OBEYED if answer.status == _OK else OrderOutcome.UNSURE
+        return (
+            OrderOutcome.OBEYED
+            if answer.status == HTTPStatus.OK
+            else OrderOutcome.UNSURE
+        )
 
     async def _ask(
         self, method: str, path: str, data: bytes | None
-    ) -> Reply | Unreachable:
+    ) -> HttpReply | Unreachable:
         url = f"http://{self.address}{path}"
         outcome = await self._fetcher.ask(method, url, self.timeout_ms, data)
         match outcome:
-            case Reply():
+            case HttpReply():
                 return outcome
             case NotReached():
                 return Unreachable(True, outcome.reason)
--- a/src/coursekeel/endpoints/_orders.py
+++ b/src/coursekeel/endpoints/_orders.py
@@ -16,11 +16,10 @@
     EndpointKind,
     ModelName,
 )
+from coursekeel.units import MS_PER_MINUTE
 
 __all__ = ["EndpointFacts", "LoadPacer", "Order", "OrderKind", "orders_due"]
 
-_MS_PER_MINUTE = 60_000
-
 
 class OrderKind(Enum):
     """What an order asks for."""
@@ -99,7 +98,7 @@
         """Take one load's place in the rate, if there is one."""
         if order.kind is not OrderKind.LOAD:
             return True
-        self._sent_ms = [at for at in self._sent_ms if now_ms - at < _MS_PER_MINUTE]
+        self._sent_ms = [at for at in self._sent_ms if now_ms - at < MS_PER_MINUTE]
         if len(self._sent_ms) >= self.loads_per_minute:
             return False
         self._sent_ms.append(now_ms)
--- a/src/coursekeel/entry/_calls_task.py
+++ b/src/coursekeel/entry/_calls_task.py
@@ -29,8 +29,7 @@
     claim_key,
     fingerprint_of,
 )
-from coursekeel.fetch import AnswerLost, Fetcher, NotReached
-from coursekeel.fetch import Reply as HttpReply
+from coursekeel.fetch import AnswerLost, Fetcher, HttpReply, NotReached
 from coursekeel.intents import ClassPolicy, RouteIntent, ServiceIntent, TeamIntent
 from coursekeel.observe import log_event
 from coursekeel.reactor import Reactor
@@ -43,12 +42,12 @@
     Transaction,
     TransactOutcome,
 )
+from coursekeel.units import SECONDS_PER_MINUTE
 
 __all__ = ["CallRequest", "CallsTask"]
 
 _RECORD_TRIES = 30
 _RECORD_PAUSE_S = 1.0
-_SECONDS_A_MINUTE = 60
 _SAFE_METHODS = ("GET", "HEAD")
 
 
@@ -159,7 +158,7 @@
                 return None
 
     async def _write_claim(self, row: ClaimRow) -> TransactOutcome:
-        due = f"expires/{row.expires_at_s // _SECONDS_A_MINUTE:010d}/{row.key}"
+        due = f"expires/{row.expires_at_s // SECONDS_PER_MINUTE:010d}/{row.key}"
         return await self.batcher.transact(
             Transaction({row.key: 0}, {row.key: row.to_row(), due: {"key": row.key}})
         )
--- a/src/coursekeel/entry/answers/_answer_measures.py
+++ b/src/coursekeel/entry/answers/_answer_measures.py
@@ -5,11 +5,11 @@
 from coursekeel.answers import OpenAttempt, Way
 from coursekeel.entry.answers._requests import GenerationRequest
 from coursekeel.observe import Metrics, log_event
+from coursekeel.units import MS_PER_SECOND
 
 __all__ = ["AnswerMeasures"]
 
 _GAP_SAMPLE = 64
-_MS_A_SECOND = 1000
 
 
 @define(eq=False)
@@ -55,9 +55,9 @@
 
     def _observe(self, now_ms: float) -> None:
         labels = self._labels()
-        since_s = (now_ms - self._last_token_ms) / _MS_A_SECOND
+        since_s = (now_ms - self._last_token_ms) / MS_PER_SECOND
         if not self._deliveries:
-            first_s = (now_ms - self.arrived_ms) / _MS_A_SECOND
+            first_s = (now_ms - self.arrived_ms) / MS_PER_SECOND
             self.metrics.first_token_s.observe(labels, first_s)
         elif self._resuming:
             self.metrics.resume_s.observe(labels, since_s)
--- a/src/coursekeel/entry/answers/_answer_store.py
+++ b/src/coursekeel/entry/answers/_answer_store.py
@@ -16,11 +16,11 @@
     TransactOutcome,
     Unavailable,
 )
+from coursekeel.units import SECONDS_PER_MINUTE
 
 __all__ = ["AnswerStore", "StoredResult", "ended_already", "is_own"]
 
 _INLINE_BYTES = 32 * 1024
-_SECONDS_A_MINUTE = 60
 
 
 @frozen
@@ -77,7 +77,7 @@
             if not _done(put):
                 return put
             record = evolve(record, result_object=name)
-        due = f"expires/{record.expires_at_s // _SECONDS_A_MINUTE:010d}/{record.key}"
+        due = f"expires/{record.expires_at_s // SECONDS_PER_MINUTE:010d}/{record.key}"
         return await self.batcher.transact(
             Transaction(
                 {record.key: version, **self.journal.fence()},
--- a/src/coursekeel/entry/answers/_expiry_task.py
+++ b/src/coursekeel/entry/answers/_expiry_task.py
@@ -8,12 +8,12 @@
 from coursekeel.reactor import Reactor
 from coursekeel.runtime import Clock, Periodic
 from coursekeel.storage import Platform, Row, Transaction, Unavailable
+from coursekeel.units import SECONDS_PER_MINUTE
 
 __all__ = ["ExpiryTask"]
 
 _INTERVAL_MS = 30_000
 _MOST_AT_ONCE = 100
-_SECONDS_A_MINUTE = 60
 
 
 @define(eq=False)
@@ -47,7 +47,7 @@
         rows = await self.platform.scan("expires/", _MOST_AT_ONCE)
         if isinstance(rows, Unavailable):
             return
-        now_minute = self.clock.wall_s() // _SECONDS_A_MINUTE
+        now_minute = self.clock.wall_s() // SECONDS_PER_MINUTE
         for row in rows.rows.values():
             if int(row.key.split("/")[1]) < now_minute:
                 await self._expire(row)
--- a/src/coursekeel/fetch/__init__.py
+++ b/src/coursekeel/fetch/__init__.py
@@ -8,7 +8,13 @@
     ExchangeRequest,
     ExchangeSink,
 )
-from coursekeel.fetch._fetch import AnswerLost, Fetcher, FetchOutcome, NotReached, Reply
+from coursekeel.fetch._fetch import (
+    AnswerLost,
+    Fetcher,
+    FetchOutcome,
+    HttpReply,
+    NotReached,
+)
 
 __all__ = [
     "AnswerLost",
@@ -19,7 +25,7 @@
     "ExchangeSink",
     "FetchOutcome",
     "Fetcher",
+    "HttpReply",
     "NotReached",
-    "Reply",
     "direct_agent",
 ]
--- a/src/coursekeel/fetch/_agent.py
+++ b/src/coursekeel/fetch/_agent.py
@@ -9,6 +9,8 @@
 
 __all__ = ["direct_agent"]
 
+# Kept connections to one host, for calls that may be repeated and for the store.
+# Chosen, not measured.
 _CONNECTIONS_PER_HOST = 16
 
 
--- a/src/coursekeel/fetch/_fetch.py
+++ b/src/coursekeel/fetch/_fetch.py
@@ -11,11 +11,11 @@
 from coursekeel.fetch._agent import direct_agent
 from coursekeel.reactor import Reactor
 
-__all__ = ["AnswerLost", "FetchOutcome", "Fetcher", "NotReached", "Reply"]
+__all__ = ["AnswerLost", "FetchOutcome", "Fetcher", "HttpReply", "NotReached"]
 
 
 @frozen
-class Reply:
+class HttpReply:
     """The whole answer."""
 
     status: int
@@ -37,7 +37,7 @@
     reason: str
 
 
-FetchOutcome = Reply | NotReached | AnswerLost
+FetchOutcome = HttpReply | NotReached | AnswerLost
 
 
 @define(eq=False)
@@ -62,7 +62,7 @@
         headers: Mapping[str, str] | None = None,
     ) -> FetchOutcome:
         """Send one request and read its whole answer within ``timeout_ms``."""
-        exchange: Deferred[Reply] = ensureDeferred(
+        exchange: Deferred[HttpReply] = ensureDeferred(
             self._exchange(method, url, data, headers)
         )
         exchange.addTimeout(timeout_ms / 1000, self.reactor)
@@ -79,10 +79,10 @@
         url: str,
         data: bytes | None,
         headers: Mapping[str, str] | None,
-    ) -> Reply:
+    ) -> HttpReply:
         response = await self._client.request(
             method, url, data=data, headers=headers, allow_redirects=False
         )
         body = await treq.content(response)
         kind = response.headers.getRawHeaders("content-type", [""])[0]
-        return Reply(response.code, kind, body)
+        return HttpReply(response.code, kind, body)
--- a/src/coursekeel/gateway/_admission.py
+++ b/src/coursekeel/gateway/_admission.py
@@ -20,20 +20,19 @@
 from coursekeel.gateway._refusals import (
     ELSEWHERE_RETRY_MS,
     NOT_YET_RETRY_MS,
-    Refusal,
+    GatewayRefusal,
 )
 from coursekeel.gateway._stop_window import StopWindow
 
 __all__ = ["Admission", "Admitted", "Arrival", "admit"]
 
-_TOO_OLD = Refusal(HTTPStatus.SERVICE_UNAVAILABLE, "belief_old", ELSEWHERE_RETRY_MS)
-_STOPPING = Refusal(HTTPStatus.SERVICE_UNAVAILABLE, "stopping", ELSEWHERE_RETRY_MS)
-_NO_ROUTES = Refusal(
-    HTTPStatus.SERVICE_UNAVAILABLE, "no_configuration", NOT_YET_RETRY_MS
-)
-_NO_ROOM = Refusal(HTTPStatus.SERVICE_UNAVAILABLE, "too_many_open", NOT_YET_RETRY_MS)
-_NO_ROUTE = Refusal(HTTPStatus.NOT_FOUND, "no_route")
-_UNKNOWN_KEY = Refusal(HTTPStatus.UNAUTHORIZED, "unknown_key")
+_UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
+_TOO_OLD = GatewayRefusal(_UNAVAILABLE, "belief_old", ELSEWHERE_RETRY_MS)
+_STOPPING = GatewayRefusal(_UNAVAILABLE, "stopping", ELSEWHERE_RETRY_MS)
+_NO_ROUTES = GatewayRefusal(_UNAVAILABLE, "no_configuration", NOT_YET_RETRY_MS)
+_NO_ROOM = GatewayRefusal(_UNAVAILABLE, "too_many_open", NOT_YET_RETRY_MS)
+_NO_ROUTE = GatewayRefusal(HTTPStatus.NOT_FOUND, "no_route")
+_UNKNOWN_KEY = GatewayRefusal(HTTPStatus.UNAUTHORIZED, "unknown_key")
 
 
 @frozen
@@ -76,7 +75,7 @@
         return self.age_ms <= self.max_unknown_age_ms
 
 
-def admit(arrival: Arrival, given: Admission) -> Admitted | Refusal:
+def admit(arrival: Arrival, given: Admission) -> Admitted | GatewayRefusal:
     """Take a request, or say why not."""
     if given.routes is None:
         return _NO_ROUTES
@@ -95,7 +94,7 @@
     return _in_time(Admitted(route, team), given)
 
 
-def _in_time(admitted: Admitted, given: Admission) -> Admitted | Refusal:
+def _in_time(admitted: Admitted, given: Admission) -> Admitted | GatewayRefusal:
     """A request that can't be answered before the end of a stop goes elsewhere."""
     stop = given.stop
     if stop and not stop.leaves_time_for(admitted.route, given.now_ms):
--- a/src/coursekeel/gateway/_caller_reply.py
+++ b/src/coursekeel/gateway/_caller_reply.py
@@ -9,13 +9,12 @@
 
 from coursekeel.gateway._adapters import HeaderPairs
 from coursekeel.gateway._http import CallerRequest
-from coursekeel.gateway._refusals import Refusal
+from coursekeel.gateway._refusals import GatewayRefusal
 from coursekeel.gateway._stop_window import Shutdown
+from coursekeel.units import MS_PER_SECOND
 
 __all__ = ["CallerReply"]
 
-_MS_A_SECOND = 1000
-
 
 @define(eq=False)
 class CallerReply:
@@ -68,11 +67,11 @@
         self.write(body)
         self.finish()
 
-    def refuse(self, refusal: Refusal) -> None:
+    def refuse(self, refusal: GatewayRefusal) -> None:
         """Send a final word of the gateway's own, with when to come back if it says."""
         headers = [(b"content-type", b"text/plain")]
         if refusal.retry_after_ms:
-            after_s = f"{refusal.retry_after_ms / _MS_A_SECOND:.3f}"
+            after_s = f"{refusal.retry_after_ms / MS_PER_SECOND:.3f}"
             headers.append((b"retry-after", after_s.encode()))
         self.whole(refusal.status, headers, refusal.code.encode())
 
--- a/src/coursekeel/gateway/_dispatcher.py
+++ b/src/coursekeel/gateway/_dispatcher.py
@@ -14,7 +14,7 @@
 from coursekeel.gateway._context import GatewayContext
 from coursekeel.gateway._http import CallerRequest
 from coursekeel.gateway._load_reports import LoadReports
-from coursekeel.gateway._refusals import NOT_YET_RETRY_MS, Refusal
+from coursekeel.gateway._refusals import NOT_YET_RETRY_MS, GatewayRefusal
 from coursekeel.gateway._request import AdmittedRequest
 from coursekeel.gateway._stop_window import Shutdown
 from coursekeel.gateway._stream_task import StreamTask
@@ -22,7 +22,7 @@
 
 __all__ = ["Dispatcher"]
 
-_NO_POOL = Refusal(HTTPStatus.SERVICE_UNAVAILABLE, "no_pool", NOT_YET_RETRY_MS)
+_NO_POOL = GatewayRefusal(HTTPStatus.SERVICE_UNAVAILABLE, "no_pool", NOT_YET_RETRY_MS)
 
 
 @define(eq=False)
@@ -44,7 +44,7 @@
         reply = CallerReply(request, self.shutdown)
         arrival = Arrival(request.host_name(), request.path_name(), caller.key)
         outcome = admit(arrival, self._admission())
-        if isinstance(outcome, Refusal):
+        if isinstance(outcome, GatewayRefusal):
             self._refuse(reply, caller, outcome)
             return
         call = self._admitted(request, received, caller, outcome)
@@ -72,7 +72,7 @@
         )
 
     def _refuse(
-        self, reply: CallerReply, caller: CallerHeaders, refusal: Refusal
+        self, reply: CallerReply, caller: CallerHeaders, refusal: GatewayRefusal
     ) -> None:
         age_ms = self.context.site.routes_age_ms
         self.context.metrics.refused(caller.request_id, refusal, age_ms)
--- a/src/coursekeel/gateway/_follow_task.py
+++ b/src/coursekeel/gateway/_follow_task.py
@@ -33,8 +33,8 @@
 # much more than in peace (once in some seconds), short enough that its return is seen
 # well before the two seconds after which missing endpoints count as gone. Chosen, not
 # measured.
-_FIRST_PAUSE_MS = 300.0
-_LONGEST_PAUSE_MS = 600.0
+_FIRST_PAUSE_MS = 300.0  # see above
+_LONGEST_PAUSE_MS = 600.0  # see above
 # More doublings than reach the longest pause would only make greater numbers.
 _MAX_DOUBLINGS = 3
 
--- a/src/coursekeel/gateway/_metrics.py
+++ b/src/coursekeel/gateway/_metrics.py
@@ -10,15 +10,15 @@
 
 from attrs import define, field
 
-from coursekeel.gateway._refusals import Refusal
+from coursekeel.gateway._refusals import GatewayRefusal
 from coursekeel.gateway._request import AdmittedRequest
 from coursekeel.observe import LabelSets, Metrics, log_event
 from coursekeel.routing import EndpointLoad
 from coursekeel.runtime import Clock
+from coursekeel.units import MS_PER_SECOND
 
 __all__ = ["GatewayMetrics", "logged_age_ms"]
 
-_MS_A_SECOND = 1000
 # Series of a gateway's counter and of each histogram; a few hundred in all with 24
 # teams (the users' bound, kept by tests/cover/test_gateway_metrics.py).
 _MAX_COUNTED_SETS = 200
@@ -50,10 +50,10 @@
         self._count(call.team_name, call.route.name, code)
         timed = self._times(call)
         if first_ms is not None:
-            first_s = (first_ms - call.arrived_ms) / _MS_A_SECOND
+            first_s = (first_ms - call.arrived_ms) / MS_PER_SECOND
             self.metrics.first_token_s.observe(timed, first_s)
         else:
-            taken_s = (now_ms - call.arrived_ms) / _MS_A_SECOND
+            taken_s = (now_ms - call.arrived_ms) / MS_PER_SECOND
             self.metrics.call_s.observe(timed, taken_s)
         fields: dict[str, Any] = {
             "request": call.caller.request_id,
@@ -78,7 +78,9 @@
     def _times(self, call: AdmittedRequest) -> dict[str, str]:
         return self._timed.of({"team": call.team_name, "class": call.route.name})
 
-    def refused(self, request_id: str, refusal: Refusal, routes_age_ms: float) -> None:
+    def refused(
+        self, request_id: str, refusal: GatewayRefusal, routes_age_ms: float
+    ) -> None:
         """A request wasn't admitted, with routes and keys of this age."""
         self._count("", "", refusal.code)
         log_event(
@@ -145,7 +147,7 @@
 
     def resumed(self, call: AdmittedRequest, way: str, waited_ms: float) -> None:
         """An answer went on after a loss."""
-        self.metrics.resume_s.observe(self._times(call), waited_ms / _MS_A_SECOND)
+        self.metrics.resume_s.observe(self._times(call), waited_ms / MS_PER_SECOND)
         log_event(
             "run_resumed",
             request=call.caller.request_id,
--- a/src/coursekeel/gateway/_queue_deadline.py
+++ b/src/coursekeel/gateway/_queue_deadline.py
@@ -2,9 +2,8 @@
 
 Rule: a quarter of the latency that its route aims at, and never past its own end.
 Reason: the rest of the aim is for the answer itself; a request that waits longer misses
-the aim anyway, and its caller's next try may meet an instance with room. Measured:
-nothing; the quarter is chosen. A try with other shares on `quiet-1` and `scale-1` would
-tell.
+the aim anyway, and its caller's next try may meet an instance with room. A try with
+other shares on `quiet-1` and `scale-1` would tell whether a quarter is right.
 
 A core: the moment is given, in ms.
 """
@@ -13,6 +12,7 @@
 
 __all__ = ["queue_deadline_ms"]
 
+# Of the route's latency aim. Chosen, not measured.
 _QUEUED_SHARE = 0.25
 
 
--- a/src/coursekeel/gateway/_refusals.py
+++ b/src/coursekeel/gateway/_refusals.py
@@ -24,7 +24,7 @@
     "NOT_YET_RETRY_MS",
     "STREAM_RETRY_MS",
     "WHOLE_RETRY_MS",
-    "Refusal",
+    "GatewayRefusal",
     "refusal_after_loss",
     "refusal_without_endpoint",
 ]
@@ -49,7 +49,7 @@
 
 
 @frozen
-class Refusal:
+class GatewayRefusal:
     """The gateway's own final word; ``retry_after_ms`` 0 says nothing of coming back.
 
     ``code`` stands in the body, in the log and in the metrics' outcome. The codes
@@ -64,21 +64,23 @@
 
 def refusal_without_endpoint(
     run: RunState, code: str, retry_after_ms: float
-) -> Refusal:
+) -> GatewayRefusal:
     """The word on a request for which there is no endpoint, or no repeat, now.
 
     Even one that may have run is told when to come back: its caller asks for the rest
     of a stream by the number of the last event, which runs nothing twice.
     """
     if run is RunState.NOT_RUN:
-        return Refusal(HTTPStatus.SERVICE_UNAVAILABLE, code, retry_after_ms)
-    return Refusal(HTTPStatus.BAD_GATEWAY, code, retry_after_ms)
+        return GatewayRefusal(HTTPStatus.SERVICE_UNAVAILABLE, code, retry_after_ms)
+    return GatewayRefusal(HTTPStatus.BAD_GATEWAY, code, retry_after_ms)
 
 
-def refusal_after_loss(run: RunState, code: str, retry_after_ms: float) -> Refusal:
+def refusal_after_loss(
+    run: RunState, code: str, retry_after_ms: float
+) -> GatewayRefusal:
     """The word on a request whose answer was lost, or is overdue (code `timeout`)."""
     if run is RunState.NOT_RUN:
-        return Refusal(HTTPStatus.SERVICE_UNAVAILABLE, code, retry_after_ms)
+        return GatewayRefusal(HTTPStatus.SERVICE_UNAVAILABLE, code, retry_after_ms)
     if code == "timeout":
-        return Refusal(HTTPStatus.GATEWAY_TIMEOUT, code)
-    return Refusal(HTTPStatus.BAD_GATEWAY, code)
+        return GatewayRefusal(HTTPStatus.GATEWAY_TIMEOUT, code)
+    return GatewayRefusal(HTTPStatus.BAD_GATEWAY, code)
--- a/src/coursekeel/gateway/_stream_attempt.py
+++ b/src/coursekeel/gateway/_stream_attempt.py
@@ -43,7 +43,7 @@
 # that two questions must fit into not much more; each costs a connection. Chosen, not
 # measured.
 _FIRST_QUESTION_MS = 450.0
-_NEXT_QUESTION_MS = 400.0
+_NEXT_QUESTION_MS = 400.0  # see above
 # One missing report may be the question's own fault.
 _REPORTS_MISSED = 2
 # A report lags by about 200 ms on the sheets; after so long a run that was taken is in
--- a/src/coursekeel/gateway/_stream_reply.py
+++ b/src/coursekeel/gateway/_stream_reply.py
@@ -11,7 +11,7 @@
 from coursekeel.fetch import ExchangeHead
 from coursekeel.gateway._caller_reply import CallerReply
 from coursekeel.gateway._context import GatewayContext
-from coursekeel.gateway._refusals import Refusal
+from coursekeel.gateway._refusals import GatewayRefusal
 from coursekeel.gateway._request import AdmittedRequest
 
 __all__ = ["StreamReply"]
@@ -75,7 +75,7 @@
             headers = self.context.endpoints.dialect.answer_headers(head)
             self.reply.whole(head.status, headers, body)
 
-    def give_up(self, refusal: Refusal) -> None:
+    def give_up(self, refusal: GatewayRefusal) -> None:
         """Nothing more will come; an answer that has begun is visibly cut."""
         if self.reply.head_sent:
             self._log_end(refusal.code, _NO_STATUS)
--- a/src/coursekeel/gateway/_whole_task.py
+++ b/src/coursekeel/gateway/_whole_task.py
@@ -32,7 +32,7 @@
 from coursekeel.gateway._queue_deadline import queue_deadline_ms
 from coursekeel.gateway._refusals import (
     WHOLE_RETRY_MS,
-    Refusal,
+    GatewayRefusal,
     refusal_after_loss,
 )
 from coursekeel.gateway._request import AdmittedRequest
@@ -204,7 +204,7 @@
             refusal = refusal_after_loss(RunState.NOT_RUN, "too_late", WHOLE_RETRY_MS)
             self._give_up(refusal)
 
-    def _give_up(self, refusal: Refusal) -> None:
+    def _give_up(self, refusal: GatewayRefusal) -> None:
         self._log_end(refusal.code, refusal.status)
         self.reply.refuse(refusal)
 
--- a/src/coursekeel/intents/_model.py
+++ b/src/coursekeel/intents/_model.py
@@ -6,6 +6,7 @@
 from attrs import field, frozen
 
 from coursekeel.answers import AnswerPolicy
+from coursekeel.units import MEBIBYTE
 
 __all__ = [
     "CLASS_PROFILES",
@@ -21,8 +22,6 @@
     "TeamIntent",
 ]
 
-_MEBIBYTE = 1 << 20
-
 
 class EndpointKind(Enum):
     """Model engines generate; plain services answer calls."""
@@ -111,7 +110,7 @@
     races: bool = True
     deaths_before_stop: int = 3
     keep_s: int = 3_600
-    body_limit_bytes: int = 64 * _MEBIBYTE
+    body_limit_bytes: int = 64 * MEBIBYTE
     queue_limit: int = 1_000
     retry_share: float = 0.2
 
--- a/src/coursekeel/intents/_plan.py
+++ b/src/coursekeel/intents/_plan.py
@@ -13,11 +13,10 @@
 from coursekeel.errors import RequestInvalid
 from coursekeel.intents._codec import intent_from_json, intent_to_json
 from coursekeel.intents._model import EndpointIntent, EndpointKind, Intent
+from coursekeel.units import SECONDS_PER_MINUTE
 
 __all__ = ["Change", "Configuration", "Plan", "check_intent", "make_plan"]
 
-_SECONDS_PER_MINUTE = 60
-
 
 @frozen
 class Configuration:
@@ -211,7 +210,7 @@
     )
     loads = sum(1 for each in changes if each.action == "load")
     rate = max(intent.loads_per_minute, 1)
-    load_time_s = math.ceil(loads * _SECONDS_PER_MINUTE / rate)
+    load_time_s = math.ceil(loads * SECONDS_PER_MINUTE / rate)
     return Plan(plan_id, now.revision, intent, changes, loads, load_time_s)
 
 
--- a/src/coursekeel/routing/_limits.py
+++ b/src/coursekeel/routing/_limits.py
@@ -22,7 +22,7 @@
 # Multiplicative decrease: gentle for a queue, which a report shows late, and stronger
 # for a refusal, which costs its caller a try. Chosen, not measured.
 _AFTER_REFUSAL = 0.8
-_AFTER_QUEUE = 0.95
+_AFTER_QUEUE = 0.95  # see above
 
 
 @define
--- a/src/coursekeel/routing/_score.py
+++ b/src/coursekeel/routing/_score.py
@@ -65,7 +65,7 @@
 # choices are made by lot: a failing endpoint is never the better one, and without a try
 # now and then nobody would find out that it works again. Chosen, not measured.
 _FAILING_SHARE = 0.3
-_EXPLORED_SHARE = 0.03
+_EXPLORED_SHARE = 0.03  # see above
 
 
 @frozen
--- a/src/coursekeel/runtime/_process.py
+++ b/src/coursekeel/runtime/_process.py
@@ -15,8 +15,11 @@
 
 __all__ = ["Role", "install_reactor", "run_role"]
 
-EXIT_BROKEN = 70
+EXIT_BROKEN = 70  # EX_SOFTWARE of sysexits.h
+# Allocations between two looks of the garbage collector (Python's own is 700): most
+# objects here are freed by their count. Chosen, not measured.
 _COLLECT_AFTER = 20_000
+# How often lines that a slow reader left waiting are tried again. Chosen, not measured.
 _FLUSH_MS = 500
 
 
@@ -99,7 +102,7 @@
     reactor.callWhenRunning(flushing.start)
     reactor.callWhenRunning(lambda: spawn(role.start(), "start", reactor))
     reactor.callWhenRunning(listen)
-    _calm_collector()
+    _collect_seldom()
     reactor.run()
     return EXIT_BROKEN if watch.broken else 0
 
@@ -108,7 +111,7 @@
     flush_logs()
 
 
-def _calm_collector() -> None:
+def _collect_seldom() -> None:
     """Collect seldom: what lives long is frozen, what doesn't is freed by count."""
     gc.collect()
     gc.freeze()
--- a/src/coursekeel/settings/_gateway.py
+++ b/src/coursekeel/settings/_gateway.py
@@ -6,6 +6,8 @@
 
 from attrs import field, frozen
 
+from coursekeel.units import MS_PER_SECOND
+
 __all__ = ["GatewayListen", "GatewaySettings", "GatewayTimers", "RetryShare"]
 
 
@@ -14,7 +16,7 @@
 # in the recorded incident of ogvs-router); the site's score was 0.840 then and 0.902
 # after (docs/platform-results.md, try 3).
 _KEY_AGE_SHARE = 0.92
-_HOLD_SHARE = 0.34
+_HOLD_SHARE = 0.34  # see above
 # More than a hold and its answer, so that an instance in touch with the store can
 # always call a key unknown. Chosen, not measured.
 _UNKNOWN_SHARE = 0.52
@@ -22,7 +24,6 @@
 # there. 450 ms at 2 s: with 800 ms visor-litoral `quiet-1` had 0.801 to 0.810 against
 # 0.838 (docs/platform-results.md, try 7).
 _GATHERING_SHARE = 0.225
-_MS_A_SECOND = 1_000
 
 
 @frozen
@@ -91,7 +92,7 @@
     @property
     def grace_ms(self) -> float:
         """The grace in milliseconds."""
-        return self.grace_s * _MS_A_SECOND
+        return self.grace_s * MS_PER_SECOND
 
 
 @frozen
--- a/src/coursekeel/settings/_load.py
+++ b/src/coursekeel/settings/_load.py
@@ -36,8 +36,8 @@
 ]
 
 _UNITS = ("_ms", "_s", "_bytes", "_tokens")
-_HASH_CHARACTERS = 64
-_MOST_PORT = 65_535
+_HASH_CHARACTERS = 64  # SHA-256 in hexadecimal
+_MAX_PORT = 65_535  # RFC 9293
 _Settings = TypeVar("_Settings")
 _CONVERTER = strict_converter(
     ListenSettings,
@@ -135,7 +135,7 @@
 
 def _is_address(text: str) -> bool:
     host, _, port = text.rpartition(":")
-    return bool(host) and port.isdigit() and int(port) <= _MOST_PORT
+    return bool(host) and port.isdigit() and int(port) <= _MAX_PORT
 
 
 def _with_profile(value: dict[str, Any]) -> tuple[dict[str, Any], list[str]]:
--- a/src/coursekeel/settings/_model.py
+++ b/src/coursekeel/settings/_model.py
@@ -2,6 +2,8 @@
 
 from attrs import field, frozen
 
+from coursekeel.units import MEBIBYTE
+
 __all__ = [
     "PROFILES",
     "EntrySettings",
@@ -12,8 +14,6 @@
     "Timers",
 ]
 
-_MEBIBYTE = 1 << 20
-
 
 @frozen
 class ListenSettings:
@@ -67,10 +67,10 @@
 class Limits:
     """Bounds that keep one entry within its instance."""
 
-    body_bytes: int = field(default=64 * _MEBIBYTE, metadata={"least": 1_024})
+    body_bytes: int = field(default=64 * MEBIBYTE, metadata={"least": 1_024})
     header_bytes: int = field(default=16_384, metadata={"least": 1_024})
     open_streams: int = field(default=2_000, metadata={"least": 1})
-    unstored_prompt_bytes: int = field(default=256 * _MEBIBYTE, metadata={"least": 0})
+    unstored_prompt_bytes: int = field(default=256 * MEBIBYTE, metadata={"least": 0})
     caller_lead_tokens: int = field(default=2_048, metadata={"least": 16})
     max_tokens: int = field(default=65_536, metadata={"least": 1})
     adopted_at_once: int = field(default=8, metadata={"least": 1})
--- a/src/coursekeel/storage/_http.py
+++ b/src/coursekeel/storage/_http.py
@@ -1,12 +1,13 @@
 """The platform over HTTP and JSON, met through `treq`."""
 
+from http import HTTPStatus
 from typing import Any
 from urllib.parse import quote
 
 import orjson
 from attrs import field, mutable
 
-from coursekeel.fetch import AnswerLost, Fetcher, FetchOutcome, Reply
+from coursekeel.fetch import AnswerLost, Fetcher, FetchOutcome, HttpReply
 from coursekeel.reactor import Reactor
 from coursekeel.storage._interface import (
     Committed,
@@ -25,11 +26,6 @@
 
 __all__ = ["HttpPlatform", "StoreCounters"]
 
-_OK = 200
-_CONFLICT = 409
-_ABSENT = 404
-_UNAVAILABLE = 503
-
 
 @mutable
 class StoreCounters:
@@ -60,11 +56,11 @@
         self.counters.writes += 1
         body = {"expected": transaction.expected, "writes": transaction.writes}
         reply = await self._ask("POST", "/table/transact", orjson.dumps(body))
-        if isinstance(reply, Reply) and reply.status == _CONFLICT:
+        if isinstance(reply, HttpReply) and reply.status == HTTPStatus.CONFLICT:
             rows = orjson.loads(reply.body)["rows"]
             return Conflict({key: _row(key, value) for key, value in rows.items()})
         written = self._written(reply)
-        if isinstance(written, Committed) and isinstance(reply, Reply):
+        if isinstance(written, Committed) and isinstance(reply, HttpReply):
             return Committed(orjson.loads(reply.body)["versions"])
         return written
 
@@ -91,9 +87,9 @@
         """Fetch an object."""
         self.counters.reads += 1
         reply = await self._ask("GET", _object_path(key))
-        if isinstance(reply, Reply) and reply.status == _OK:
+        if isinstance(reply, HttpReply) and reply.status == HTTPStatus.OK:
             return Fetched(reply.body)
-        if isinstance(reply, Reply) and reply.status == _ABSENT:
+        if isinstance(reply, HttpReply) and reply.status == HTTPStatus.NOT_FOUND:
             return Fetched(None)
         return self._failed(reply)
 
@@ -105,7 +101,7 @@
     async def list_instances(self) -> InstanceList | Unavailable:
         """Read the platform's list of instances."""
         reply = await self._ask("GET", "/instances")
-        if not isinstance(reply, Reply) or reply.status != _OK:
+        if not isinstance(reply, HttpReply) or reply.status != HTTPStatus.OK:
             return self._failed(reply)
         listed = orjson.loads(reply.body)["instances"]
         return InstanceList(tuple(_listed(each) for each in listed))
@@ -118,22 +114,25 @@
 
     def _failed(self, reply: FetchOutcome) -> Unavailable:
         self.counters.failures += 1
-        if isinstance(reply, Reply):
+        if isinstance(reply, HttpReply):
             return Unavailable(f"status {reply.status}")
         return Unavailable(reply.reason)
 
     def _written(self, reply: FetchOutcome) -> Committed | Unavailable | Unsure:
-        if isinstance(reply, Reply) and reply.status == _OK:
+        if isinstance(reply, HttpReply) and reply.status == HTTPStatus.OK:
             return Committed()
         failed = self._failed(reply)
         if isinstance(reply, AnswerLost):
             return Unsure(failed.reason)
-        if isinstance(reply, Reply) and reply.status != _UNAVAILABLE:
+        if (
+            isinstance(reply, HttpReply)
+            and reply.status != HTTPStatus.SERVICE_UNAVAILABLE
+        ):
             return Unsure(failed.reason)
         return failed
 
     def _rows(self, reply: FetchOutcome) -> Rows | Unavailable:
-        if not isinstance(reply, Reply) or reply.status != _OK:
+        if not isinstance(reply, HttpReply) or reply.status != HTTPStatus.OK:
             return self._failed(reply)
         rows = orjson.loads(reply.body)["rows"]
         return Rows({key: _present(key, value) for key, value in rows.items()})
--- a/tests/cover/test_answers_under_faults.py
+++ b/tests/cover/test_answers_under_faults.py
@@ -177,7 +177,8 @@
 
 def test_a_request_that_kills_engines_is_stopped():
     world = AnswerWorld(AnswerCore, 20)
-    world.core.policy = type(world.core.policy)(deaths_before_stop=3)
+    recovery = world.core.recovery
+    recovery.policy = type(recovery.policy)(deaths_before_stop=3)
     for endpoint in ("a", "b", "c"):
         world.grant(endpoint)
         attempt = max(world.streams)
--- a/tests/platform/test_malformed_input.py
+++ b/tests/platform/test_malformed_input.py
@@ -13,7 +13,7 @@
 from twisted.internet.task import Clock as FakeReactor
 
 from coursekeel.errors import InvariantBroken
-from coursekeel.fetch import Reply
+from coursekeel.fetch import HttpReply
 from coursekeel.forwarding import EndpointDirectory, Freshness, StoreClock
 from coursekeel.gateway import (
     EndpointReport,
@@ -93,7 +93,7 @@
     def answer(self, body: Any) -> None:
         """Answer the question that is open, and let the next one be asked."""
         asked = len(self.answers)
-        self.answers[-1].callback(Reply(200, "json", orjson.dumps(body)))
+        self.answers[-1].callback(HttpReply(200, "json", orjson.dumps(body)))
         for _ in range(20):
             self.reactor.advance(0.1)
             if len(self.answers) > asked:
@@ -232,13 +232,13 @@
     found: list[Any] = []
     done.addErrback(found.append)
     body = orjson.dumps(page([row("servers", "a", SERVER)]))
-    followed.answers[-1].callback(Reply(200, "json", body))
+    followed.answers[-1].callback(HttpReply(200, "json", body))
     assert found[0].check(InvariantBroken)
 
 
 def outcome_of(body: bytes, table: Table, whole: bool) -> Any:
     source = PlatformSource(FakeReactor(), "127.0.0.1:1")
-    source._fetcher = Mock(ask=lambda *_: succeed(Reply(200, "json", body)))
+    source._fetcher = Mock(ask=lambda *_: succeed(HttpReply(200, "json", body)))
     asked = source.read(table, 1.0) if whole else source.follow(table, 1, 1.0, 1.0)
     found: list[Any] = []
     ensureDeferred(asked).addBoth(found.append)
