--- a/src/coursekeel/calls/_call.py
+++ b/src/coursekeel/calls/_call.py
@@ -129,9 +129,13 @@
             self._failure = outcome
         if self._may_try_again(outcome):
             return self._send()
-        if self._failure is not None:
+        if self._failure is not None and not isinstance(outcome, ServiceReply):
             # A failure that the service gave says more than the loss of a later try.
-            outcome = outcome if isinstance(outcome, ServiceReply) else self._failure
+            outcome = self._failure
+        return self._end(outcome)
+
+    def _end(self, outcome: ServiceReply | SendOutcome) -> list[CallAction]:
+        """No further try: the call's fate is what the last one proves."""
         match outcome:
             case ServiceReply():
                 self._machine.feed("answered")
--- a/src/coursekeel/entry/http/_site.py
+++ b/src/coursekeel/entry/http/_site.py
@@ -1,7 +1,6 @@
 """The HTTP server: bodies in memory, bounded before they are read."""
 
 import math
-from io import BytesIO
 from typing import Any
 
 import orjson
@@ -9,39 +8,26 @@
 from twisted.web.server import Request, Site
 
 from coursekeel.entry.http._common import error_body, not_run
+from coursekeel.runtime import BoundedBody
 from coursekeel.settings import EntrySettings
 
 __all__ = ["bounded_site"]
 
 
-class _BoundedRequest(Request):
-    """A request whose body stays in memory, since instances have no disks.
+class _BoundedRequest(BoundedBody, Request):
+    """A request whose body is bounded.
 
-    Twisted would write a large body to a temporary file. A body over the limit is
-    answered as soon as its length is known, and the connection closed.
+    One over the limit is answered as soon as its length is known, and the connection
+    closed.
     """
 
-    body_limit_bytes = 0
-    _received_bytes = 0
-    _refused = False
-
-    def gotLength(self, length: int | None) -> None:
-        self.content = BytesIO()
-        if length is not None and length > self.body_limit_bytes:
-            self._refuse()
-
-    def handleContentChunk(self, data: bytes) -> None:
-        self._received_bytes += len(data)
-        if self._refused:
-            return
-        if self._received_bytes > self.body_limit_bytes:
-            self._refuse()
-            return
-        super().handleContentChunk(data)
-
-    def _refuse(self) -> None:
-        self._refused = True
-        limit = self.body_limit_bytes
+    limit_bytes = 0
+
+    def body_limit_bytes(self) -> int:
+        return self.limit_bytes
+
+    def body_too_large(self) -> None:
+        limit = self.limit_bytes
         refusal = not_run("too_large", f"the body is over the limit of {limit} bytes")
         body = orjson.dumps(error_body(refusal))
         head = (
@@ -53,11 +39,11 @@
         self.channel.loseConnection()
 
     def process(self) -> None:
-        if not self._refused:
+        if not self.body_is_too_large:
             super().process()
 
 
-class _Channel(HTTPChannel):
+class _BoundedChannel(HTTPChannel):
     """A channel that takes no more than the configured bytes of headers."""
 
     header_limit_bytes = 0
@@ -75,11 +61,10 @@
     """
     limits = settings.limits
     request = type(
-        "BoundedRequest", (_BoundedRequest,), {"body_limit_bytes": limits.body_bytes}
-    )
-    channel = type(
-        "BoundedChannel", (_Channel,), {"header_limit_bytes": limits.header_bytes}
+        "BoundedRequest", (_BoundedRequest,), {"limit_bytes": limits.body_bytes}
     )
+    bounds = {"header_limit_bytes": limits.header_bytes}
+    channel = type("BoundedChannel", (_BoundedChannel,), bounds)
     idle_s = math.ceil(settings.timers.request_idle_ms / 1000)
     site: Any = Site(resource, requestFactory=request, timeout=idle_s)
     site.protocol = channel
--- a/src/coursekeel/gateway/_gateway.py
+++ b/src/coursekeel/gateway/_gateway.py
@@ -113,9 +113,9 @@
         self._follow_tasks = self._make_follow_tasks(random)
         self._add_gauges()
 
-    def _make_follow_tasks(self, random: Random) -> list[FollowTask]:
+    def _followed_tables(self) -> tuple[FollowedTable, ...]:
         site, timers = self._site, self.settings.timers
-        followed = (
+        return (
             FollowedTable(
                 Table.CONFIGURATION,
                 timers.configuration_hold_ms,
@@ -131,6 +131,8 @@
                 site.endpoints_back,
             ),
         )
+
+    def _make_follow_tasks(self, random: Random) -> list[FollowTask]:
         store_clock = StoreClock()
         return [
             FollowTask(
@@ -139,11 +141,11 @@
                 random,
                 self.source,
                 each,
-                timers.store_ms,
-                site.freshness,
+                self.settings.timers.store_ms,
+                self._site.freshness,
                 store_clock,
             )
-            for each in followed
+            for each in self._followed_tables()
         ]
 
     def _add_gauges(self) -> None:
--- a/src/coursekeel/gateway/_http.py
+++ b/src/coursekeel/gateway/_http.py
@@ -6,7 +6,6 @@
 
 from collections.abc import Callable
 from http import HTTPStatus
-from io import BytesIO
 from typing import Any
 
 from attrs import frozen
@@ -15,6 +14,7 @@
 
 from coursekeel.forwarding import RequestLimits
 from coursekeel.gateway._adapters import HeaderPairs
+from coursekeel.runtime import BoundedBody
 
 __all__ = [
     "CallerRequest",
@@ -27,34 +27,19 @@
 _Limits = Callable[[], RequestLimits]
 
 
-class CallerRequest(Request):
-    """A request whose body stays in memory, and whose path and body are not parsed.
-
-    Twisted would write a large body to a temporary file, and read forms out of it.
-    """
+class CallerRequest(BoundedBody, Request):
+    """A request whose path and body are not parsed: Twisted would read forms in it."""
 
     limits: _Limits
     take: Callable[["CallerRequest"], None]
-    content: Any
-    _received_bytes = 0
-    _too_large = False
-
-    def gotLength(self, length: int | None) -> None:
-        self.content = BytesIO()
-        if length is not None and length > self.limits().body_bytes:
-            self._too_large = True
-
-    def handleContentChunk(self, data: bytes) -> None:
-        self._received_bytes += len(data)
-        if self._received_bytes > self.limits().body_bytes:
-            self._too_large = True
-        if not self._too_large:
-            self.content.write(data)
+
+    def body_limit_bytes(self) -> int:
+        return self.limits().body_bytes
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
         self.content.seek(0)
         self.method, self.uri, self.clientproto = command, path, version
-        if self._too_large:
+        if self.body_is_too_large:
             self.setResponseCode(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
             self.responseHeaders.setRawHeaders(b"connection", [b"close"])
             self.responseHeaders.setRawHeaders(b"content-length", [b"0"])
--- a/src/coursekeel/gateway/_metrics.py
+++ b/src/coursekeel/gateway/_metrics.py
@@ -48,13 +48,7 @@
         """A request came to its end."""
         now_ms = self.clock.now_ms()
         self._count(call.team_name, call.route.name, code)
-        timed = self._times(call)
-        if first_ms is not None:
-            first_s = (first_ms - call.arrived_ms) / MS_PER_SECOND
-            self.metrics.first_token_s.observe(timed, first_s)
-        else:
-            taken_s = (now_ms - call.arrived_ms) / MS_PER_SECOND
-            self.metrics.call_s.observe(timed, taken_s)
+        self._time(call, first_ms, now_ms)
         fields: dict[str, Any] = {
             "request": call.caller.request_id,
             "route": call.route.name,
@@ -71,6 +65,18 @@
             fields["ways"] = ",".join(ways)
         log_event("request_ended", **fields)
 
+    def _time(
+        self, call: AdmittedRequest, first_ms: float | None, now_ms: float
+    ) -> None:
+        """A stream is timed to its first event, a whole answer to its end."""
+        timed = self._times(call)
+        if first_ms is not None:
+            first_s = (first_ms - call.arrived_ms) / MS_PER_SECOND
+            self.metrics.first_token_s.observe(timed, first_s)
+        else:
+            taken_s = (now_ms - call.arrived_ms) / MS_PER_SECOND
+            self.metrics.call_s.observe(timed, taken_s)
+
     def _count(self, team: str, request_class: str, code: str) -> None:
         labels = {"team": team, "class": request_class, "outcome": code}
         self.metrics.requests.inc(self._counted.of(labels))
--- a/src/coursekeel/runtime/__init__.py
+++ b/src/coursekeel/runtime/__init__.py
@@ -1,6 +1,7 @@
 """What every role needs: the process, the clock, periodic work, the cores' tasks."""
 
 from coursekeel.runtime._answer_driver import AnswerDriver, AnswerShell
+from coursekeel.runtime._bounded_body import BoundedBody
 from coursekeel.runtime._clock import Clock
 from coursekeel.runtime._periodic import Periodic, spawn
 from coursekeel.runtime._process import Role, install_reactor, run_role
@@ -9,6 +10,7 @@
 __all__ = [
     "AnswerDriver",
     "AnswerShell",
+    "BoundedBody",
     "Clock",
     "Periodic",
     "Role",
--- a/src/coursekeel/runtime/_process.py
+++ b/src/coursekeel/runtime/_process.py
@@ -78,15 +78,14 @@
     """Serve until SIGTERM or SIGINT; returns the exit code."""
     from twisted.logger import globalLogBeginner
 
-    watch = _FailureWatch(reactor)
-    observer: Any = watch
-    globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False)
+    watch: Any = _FailureWatch(reactor)
+    globalLogBeginner.beginLoggingTo([watch], redirectStandardIO=False)
 
     async def end() -> None:
         await role.stop()
         reactor.stop()
 
-    def told(number: int, _frame: object) -> None:
+    def on_signal(number: int, _frame: object) -> None:
         log_event("signal", number=number)
         if number == signal.SIGHUP:
             reactor.callFromThread(role.reload)
@@ -95,7 +94,7 @@
 
     def listen() -> None:
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, told)
+            signal.signal(number, on_signal)
 
     # What a slow reader of the log left unwritten.
     flushing = Periodic(reactor, "flush_logs", _FLUSH_MS, _flush)
