--- a/src/coursekeel/cli/_client.py
+++ b/src/coursekeel/cli/_client.py
@@ -11,6 +11,8 @@
 
 __all__ = ["EntryClient"]
 
+# For one question of the command line. Chosen, not measured: longer than an entry needs
+# for any answer.
 _TIMEOUT_S = 30
 
 
--- a/src/coursekeel/cli/_explain.py
+++ b/src/coursekeel/cli/_explain.py
@@ -9,7 +9,7 @@
 
 __all__ = ["explain_request"]
 
-_EXIT_NOT_FOUND = 1
+_EXIT_NOT_FOUND = 1  # as grep does
 
 
 def explain_request(request_id: str, logs: Iterable[Path]) -> int:
--- a/src/coursekeel/cli/_main.py
+++ b/src/coursekeel/cli/_main.py
@@ -13,9 +13,9 @@
 
 __all__ = ["main"]
 
-EXIT_REFUSED = 1
-EXIT_MISUSE = 2
-EXIT_UNSURE = 3
+EXIT_REFUSED = 1  # docs/operators/index.md names the codes
+EXIT_MISUSE = 2  # as argparse does
+EXIT_UNSURE = 3  # docs/operators/index.md
 
 _SettingsFile = Annotated[
     Path, cappa.Arg(long="--settings", help="The settings file, JSON with comments.")
--- a/src/coursekeel/endpoints/__init__.py
+++ b/src/coursekeel/endpoints/__init__.py
@@ -11,7 +11,7 @@
 )
 from coursekeel.endpoints._evidence import EvidenceBook, LeavingMark
 from coursekeel.endpoints._orders import EndpointFacts, LoadPacer, Order, orders_due
-from coursekeel.endpoints._pulse import FleetPulse, PulseSettings
+from coursekeel.endpoints._silence import SilenceSettings, SilenceWatch
 
 __all__ = [
     "EndpointFacts",
@@ -19,13 +19,13 @@
     "EngineAdapter",
     "EngineStream",
     "EvidenceBook",
-    "FleetPulse",
     "GenerationOrder",
     "LeavingMark",
     "LoadPacer",
     "Order",
     "OrderOutcome",
-    "PulseSettings",
+    "SilenceSettings",
+    "SilenceWatch",
     "StreamListener",
     "Unreachable",
     "orders_due",
--- a/src/coursekeel/endpoints/_http_body.py
+++ b/src/coursekeel/endpoints/_http_body.py
@@ -10,6 +10,8 @@
 
 __all__ = ["ChunkedBody"]
 
+# What is written to a socket at a time, the usual size of a socket's buffer. Chosen,
+# not measured.
 _PIECE_BYTES = 64 * 1024
 
 
--- a/src/coursekeel/entry/_entry.py
+++ b/src/coursekeel/entry/_entry.py
@@ -43,9 +43,14 @@
 
 __all__ = ["Entry"]
 
+# Connections that the kernel holds until they are accepted. Chosen, not measured.
 _BACKLOG = 512
+# How long a reader waits for an owner to be found again. Chosen, not measured: longer
+# than an adoption takes (a lease and its margin, 3 s by default).
 _READER_PATIENCE_MS = 30_000
+# Leaving marks told in one greeting. Chosen for the size of a greeting, not measured.
 _MARKS_A_GREETING = 16
+# How often a stopping entry looks whether it has served all. Chosen, not measured.
 _DRAIN_LOOK_S = 0.05
 
 
@@ -143,7 +148,7 @@
             self.reactor,
             self.clock,
             self.routing,
-            self.endpoints.pulse,
+            self.endpoints.silence,
             self.metrics,
             self._engine,
             lambda task: self.desk.ended(task),
--- a/src/coursekeel/entry/answers/_answer_measures.py
+++ b/src/coursekeel/entry/answers/_answer_measures.py
@@ -9,6 +9,8 @@
 
 __all__ = ["AnswerMeasures"]
 
+# One gap in so many is observed: a histogram's entry costs more than passing a token
+# on. Chosen, not measured.
 _GAP_SAMPLE = 64
 
 
--- a/src/coursekeel/entry/answers/_answer_task.py
+++ b/src/coursekeel/entry/answers/_answer_task.py
@@ -31,7 +31,7 @@
     TokensArrived,
     Way,
 )
-from coursekeel.endpoints import EngineAdapter, FleetPulse, GenerationOrder
+from coursekeel.endpoints import EngineAdapter, GenerationOrder, SilenceWatch
 from coursekeel.entry.answers._answer_measures import AnswerMeasures
 from coursekeel.entry.answers._follower import FollowedAnswer, Follower
 from coursekeel.entry.answers._open_stream import (
@@ -77,7 +77,7 @@
     reactor: Reactor
     clock: Clock
     routing: RoutingTask
-    pulse: FleetPulse
+    silence: SilenceWatch
     metrics: Metrics
     engine: Callable[[str], EngineAdapter | None]
     ended: Callable[["AnswerTask"], None]
@@ -206,15 +206,15 @@
         opened = self._open.get(attempt)
         if opened is None:
             return
-        if opened.pulsing:
-            self.ports.pulse.heard(opened.endpoint_id, now_ms)
+        if opened.begun:
+            self.ports.silence.heard(opened.endpoint_id, now_ms)
         else:
             self._first_line(opened, now_ms)
         self.tell(line, now_ms)
 
     def _first_line(self, opened: OpenStream, now_ms: float) -> None:
-        opened.pulsing = True
-        self.ports.pulse.opened(opened.endpoint_id, now_ms)
+        opened.begun = True
+        self.ports.silence.opened(opened.endpoint_id, now_ms)
         if opened.holds_place:
             router = self.ports.routing.router
             router.gave_first_token(opened.endpoint_id, self.request.policy.name)
@@ -405,8 +405,8 @@
 
     def _let_go(self, attempt: int) -> None:
         opened = self._open.pop(attempt)
-        if opened.pulsing:
-            self.ports.pulse.closed(opened.endpoint_id)
+        if opened.begun:
+            self.ports.silence.closed(opened.endpoint_id)
         if opened.holds_place:
             run_ms = self.ports.clock.now_ms() - opened.opened_ms
             self.ports.routing.released(opened.endpoint_id, run_ms)
--- a/src/coursekeel/entry/answers/_journal_task.py
+++ b/src/coursekeel/entry/answers/_journal_task.py
@@ -35,6 +35,7 @@
 
 LEASES_PREFIX = "leases/entry/"
 ORPHANS_PREFIX = "leases/orphan/"
+# Two renewals may be lost before a lease lapses. Chosen, not measured.
 _RENEWALS_A_LEASE = 3
 
 
--- a/src/coursekeel/entry/answers/_open_stream.py
+++ b/src/coursekeel/entry/answers/_open_stream.py
@@ -39,7 +39,7 @@
     opened_ms: float
     holds_place: bool
     run_id: str = ""
-    pulsing: bool = False
+    begun: bool = False
 
 
 class AttemptListener(StreamListener):
--- a/src/coursekeel/entry/answers/_relay.py
+++ b/src/coursekeel/entry/answers/_relay.py
@@ -12,6 +12,7 @@
 
 __all__ = ["RelaySink", "held_in", "relay_request", "serve_follow", "take_reply"]
 
+# Replies held for a slow reader before its peer is held up. Chosen, not measured.
 _MOST_WAITING = 64
 
 
--- a/src/coursekeel/entry/answers/_requests.py
+++ b/src/coursekeel/entry/answers/_requests.py
@@ -11,9 +11,15 @@
 
 __all__ = ["GenerationRequest", "read_generation", "text_tokens"]
 
+# What the completions interface that callers know gives when none is named.
 _DEFAULT_MAX_TOKENS = 16
+# The field's rule of thumb for English text. It only weighs requests against each
+# other; engines count for themselves.
 _CHARACTERS_PER_TOKEN = 4
+# What a photograph weighs beside text. Chosen, not measured.
 _TOKENS_PER_IMAGE = 512
+# Prompts that share so much are sent to the same endpoint first. Chosen, not measured:
+# about a system prompt.
 _PREFIX_CHARACTERS = 1_024
 
 
--- a/src/coursekeel/entry/control/_endpoints_task.py
+++ b/src/coursekeel/entry/control/_endpoints_task.py
@@ -9,9 +9,9 @@
     EndpointStatus,
     EngineAdapter,
     EvidenceBook,
-    FleetPulse,
     LeavingMark,
-    PulseSettings,
+    SilenceSettings,
+    SilenceWatch,
 )
 from coursekeel.endpoints._http_engine import HttpEngine
 from coursekeel.intents import EndpointKind, Intent
@@ -28,7 +28,7 @@
 
 @define(eq=False)
 class EndpointsTask:
-    """Keeps evidence, load and pulse of the endpoints that this entry uses.
+    """Keeps evidence, load and silence of the endpoints that this entry uses.
 
     ``silent`` is called with an endpoint that fell silent, ``listed_entries`` with the
     addresses of all entries whenever the platform's list was read.
@@ -43,7 +43,7 @@
     silent: Callable[[str], None]
     listed_entries: Callable[[dict[str, str]], None]
     evidence: EvidenceBook = field(init=False)
-    pulse: FleetPulse = field(init=False)
+    silence: SilenceWatch = field(init=False)
     facts: dict[str, EndpointFacts] = field(factory=dict)
     listed: dict[str, ListedInstance] = field(factory=dict)
     _engines: dict[str, HttpEngine] = field(factory=dict)
@@ -55,11 +55,11 @@
     def __attrs_post_init__(self) -> None:
         timers = self.settings.timers
         self.evidence = EvidenceBook(timers.evidence_ms)
-        self.pulse = FleetPulse(PulseSettings(floor_ms=timers.silence_floor_ms))
+        self.silence = SilenceWatch(SilenceSettings(floor_ms=timers.silence_floor_ms))
         every = [
             ("status", timers.status_ms, self._ask_all),
             ("list", timers.list_ms, self._read_list),
-            ("pulse", timers.pulse_ms, self._review_pulse),
+            ("pulse", timers.pulse_ms, self._review_silence),
         ]
         self._loops = [
             Periodic(self.reactor, name, interval_ms, work)
@@ -225,11 +225,11 @@
             if mark.endpoint_id in named:
                 self.evidence.hinted(mark)
 
-    # Pulse.
+    # Silence.
 
-    async def _review_pulse(self) -> None:
+    async def _review_silence(self) -> None:
         now_ms = self.clock.now_ms()
         due_ms = now_ms + self.settings.timers.pulse_ms
-        for endpoint_id in self.pulse.review(now_ms, due_ms):
+        for endpoint_id in self.silence.review(now_ms, due_ms):
             log_event("endpoint_silent", endpoint=endpoint_id)
             self.silent(endpoint_id)
--- a/src/coursekeel/entry/control/_peers_task.py
+++ b/src/coursekeel/entry/control/_peers_task.py
@@ -19,9 +19,14 @@
 
 __all__ = ["FollowServer", "PeerRefused", "PeersTask"]
 
+# A peer that doesn't answer for so long isn't reached in this round. Chosen, not
+# measured: the default interval of greetings.
 _GREETING_TIMEOUT_S = 1.0
+# The largest message between entries: a configuration at the size of docs/CAPACITY.md.
 _BODY_LIMIT_BYTES = 32 << 20
+# Half of what an idle channel may be silent. Chosen, not measured.
 _KEEPALIVE_MS = 1_000
+# How often a full reader is asked whether it has room again. Chosen, not measured.
 _SLOW_READER_S = 0.02
 _OPTIONS = [
     ("grpc.max_receive_message_length", _BODY_LIMIT_BYTES),
@@ -160,13 +165,19 @@
     async def read_highest(self) -> Configuration | None:
         """The highest configuration among the peers that can be reached."""
         found: Configuration | None = None
+        unread = 0
         for instance_id in self.book.names:
             read = await as_deferred(self._read_configuration(instance_id))
+            unread += read is None
             if read is not None and (found is None or read.revision > found.revision):
                 found = read
+        if unread:
+            # One line a round and not one a peer, of which there may be hundreds.
+            log_event("peers_unread", unread=unread, peers=len(self.book.names))
         return found
 
     async def _read_configuration(self, instance_id: str) -> Configuration | None:
+        """A peer's configuration; None if it has none or can't be reached."""
         stub = self._stub(instance_id)
         if stub is None:
             return None
--- a/src/coursekeel/entry/http/_api.py
+++ b/src/coursekeel/entry/http/_api.py
@@ -23,6 +23,7 @@
 
 __all__ = ["CallerApi"]
 
+# A caller whose answer is looked for elsewhere comes back then. Chosen, not measured.
 _RETRY_AFTER_MS = 1_000
 
 
--- a/src/coursekeel/entry/http/_common.py
+++ b/src/coursekeel/entry/http/_common.py
@@ -40,6 +40,7 @@
     "queue_full": 429,
     "no_endpoint": 503,
 }
+# For a code without a status of its own: nothing was done, come back.
 _DEFAULT_STATUS = 503
 
 
--- a/src/coursekeel/entry/http/_operator.py
+++ b/src/coursekeel/entry/http/_operator.py
@@ -27,6 +27,7 @@
 
 __all__ = ["OperatorApi"]
 
+# An operator whose change met the store's trouble. Chosen, not measured.
 _RETRY_AFTER_MS = 1_000
 
 
--- a/src/coursekeel/entry/http/_overview.py
+++ b/src/coursekeel/entry/http/_overview.py
@@ -17,6 +17,7 @@
 
 __all__ = ["Overview"]
 
+# Endpoints in trouble that one page names. Chosen to be read by a person.
 _MOST_TROUBLED = 50
 
 
@@ -93,7 +94,7 @@
             ][:_MOST_TROUBLED],
             "waiting_for_endpoints": self.router.waiting,
             "refused": self.router.refused,
-            "slow_downs": self.endpoints_task.pulse.slow_downs,
+            "slow_downs": self.endpoints_task.silence.slow_downs,
             "group_leases": {
                 group: lease.epoch
                 for group, lease in self.orders.leases.items()
--- a/src/coursekeel/gateway/_metrics.py
+++ b/src/coursekeel/gateway/_metrics.py
@@ -22,7 +22,7 @@
 # Series of a gateway's counter and of each histogram; a few hundred in all with 24
 # teams (the users' bound, kept by tests/cover/test_gateway_metrics.py).
 _MAX_COUNTED_SETS = 200
-_MAX_TIMED_SETS = 64
+_MAX_TIMED_SETS = 64  # see above
 
 
 @define(eq=False)
--- a/src/coursekeel/storage/_batcher.py
+++ b/src/coursekeel/storage/_batcher.py
@@ -19,6 +19,7 @@
 
 __all__ = ["Batcher"]
 
+# Transactions put together into one call. Chosen, not measured.
 _MOST_IN_A_BATCH = 64
 
 
--- a/tests/cover/test_endpoints.py
+++ b/tests/cover/test_endpoints.py
@@ -9,7 +9,7 @@
     run_state_machine_as_test,
 )
 
-from coursekeel.endpoints import EvidenceBook, FleetPulse, LeavingMark
+from coursekeel.endpoints import EvidenceBook, LeavingMark, SilenceWatch
 from coursekeel.membership import GroupLease, Isolation, LapseWatch, LeaseTerms
 from coursekeel.storage import Committed, Row, Unsure
 from tests.common.examples import schedules, until_broken
@@ -113,44 +113,44 @@
     run_state_machine_as_test(EvidenceMachine, settings=schedules(300))
 
 
-def pulsing(endpoints, until_ms=1_000.0):
-    pulse = FleetPulse()
+def watched(endpoints, until_ms=1_000.0):
+    silence = SilenceWatch()
     for name in endpoints:
-        pulse.opened(name, 0.0)
+        silence.opened(name, 0.0)
     now_ms = 0.0
     while now_ms < until_ms:
         now_ms += 20.0
         for name in endpoints:
-            pulse.heard(name, now_ms)
-        pulse.review(now_ms, now_ms + 20.0)
-    return pulse, now_ms
+            silence.heard(name, now_ms)
+        silence.review(now_ms, now_ms + 20.0)
+    return silence, now_ms
 
 
-def reviews(pulse, now_ms, for_ms, heard=()):
+def reviews(silence, now_ms, for_ms, heard=()):
     found = []
     end_ms = now_ms + for_ms
     while now_ms < end_ms:
         now_ms += 20.0
         for name in heard:
-            pulse.heard(name, now_ms)
-        found += pulse.review(now_ms, now_ms + 20.0)
+            silence.heard(name, now_ms)
+        found += silence.review(now_ms, now_ms + 20.0)
     return found
 
 
 def test_one_silent_endpoint_is_named_once():
-    pulse, now_ms = pulsing("abcdef")
-    assert reviews(pulse, now_ms, 2_000, heard="bcdef") == ["a"]
+    silence, now_ms = watched("abcdef")
+    assert reviews(silence, now_ms, 2_000, heard="bcdef") == ["a"]
 
 
 def test_a_fleet_that_slows_down_is_not_taken_for_dead():
-    pulse, now_ms = pulsing("abcdef")
-    assert reviews(pulse, now_ms, 2_000, heard="f") == []
-    assert pulse.slow_downs > 0
+    silence, now_ms = watched("abcdef")
+    assert reviews(silence, now_ms, 2_000, heard="f") == []
+    assert silence.slow_downs > 0
 
 
 def test_our_own_pause_judges_nobody():
-    pulse, now_ms = pulsing("abcdef")
-    assert pulse.review(now_ms + 5_000, now_ms + 5_020) == []
+    silence, now_ms = watched("abcdef")
+    assert silence.review(now_ms + 5_000, now_ms + 5_020) == []
 
 
 TERMS = LeaseTerms(length_ms=1_000, margin_ms=200)
