--- a/src/coursekeel/entry/control/_peers_task.py
+++ b/src/coursekeel/entry/control/_peers_task.py
@@ -76,6 +76,7 @@
     received_bytes: int = 0
     port: int = 0
     _server: Any = None
+    _stopped: bool = False
     _channels: dict[str, tuple[str, Any]] = field(factory=dict)
     _loop: Periodic = field(init=False)
 
@@ -95,7 +96,8 @@
         self._loop.start()
 
     async def stop(self) -> None:
-        """Close the server and all channels."""
+        """Close the server and all channels, under whatever is on its way."""
+        self._stopped = True
         self._loop.stop()
         for _, channel in self._channels.values():
             await as_deferred(channel.close())
@@ -152,6 +154,11 @@
             if _is_refusal(failure):
                 self.book.refused(instance_id)
             return
+        except asyncio.CancelledError:
+            if not self._stopped:
+                raise
+            # Closing a channel cancels its calls; a stopping entry needs no reply.
+            return
         self.received_bytes += reply.ByteSize()
         self.isolation.reached(asked_ms)
         self._took(_greeting(reply))
@@ -188,6 +195,10 @@
             )
         except grpc.aio.AioRpcError:
             return None
+        except asyncio.CancelledError:
+            if not self._stopped:
+                raise
+            return None
         self.isolation.reached(asked_ms)
         if not reply.revision:
             return None
@@ -235,8 +246,9 @@
         return None
 
     def _stub(self, instance_id: str) -> Any:
+        """What a peer is asked through; None if it has no address, or after a stop."""
         address = self.book.address(instance_id)
-        if not address:
+        if self._stopped or not address:
             return None
         known = self._channels.get(instance_id)
         if known is None or known[0] != address:
