--- a/src/coursekeel/settings/_load.py
+++ b/src/coursekeel/settings/_load.py
@@ -1,4 +1,7 @@
-"""Read settings from JSON with comments, and name every fault at once."""
+"""Read settings from JSON with comments, and name every fault at once.
+
+Owns no state; relies on `coursekeel.strict` for types and on json5 for the file's form.
+"""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -39,18 +42,19 @@
 _HASH_CHARACTERS = 64  # SHA-256 in hexadecimal
 _MAX_PORT = 65_535  # RFC 9293
 _Settings = TypeVar("_Settings")
-_CONVERTER = strict_converter(
-    ListenSettings,
-    PlatformSettings,
-    OperatorKey,
-    Timers,
-    Limits,
-    EntrySettings,
-    GatewayListen,
-    GatewayTimers,
-    RetryShare,
-    GatewaySettings,
-)
+# A converter takes some ms to make, so that each role makes only its own, when it reads
+# its settings. Inner classes come before those that hold them.
+_CLASSES: dict[type, tuple[type, ...]] = {
+    EntrySettings: (
+        ListenSettings,
+        PlatformSettings,
+        OperatorKey,
+        Timers,
+        Limits,
+        EntrySettings,
+    ),
+    GatewaySettings: (GatewayListen, GatewayTimers, RetryShare, GatewaySettings),
+}
 
 
 def read_json_with_comments(path: Path) -> Any:
@@ -113,7 +117,7 @@
     value: dict[str, Any], kind: type[_Settings], faults: list[str], source: str
 ) -> _Settings:
     try:
-        settings = _CONVERTER.structure(value, kind)
+        settings = strict_converter(*_CLASSES[kind]).structure(value, kind)
     except Exception as failure:
         faults += [_with_unit_hint(each) for each in faults_of(failure)]
     if faults:
