--- a/standins/_platform.py
+++ b/standins/_platform.py
@@ -1,4 +1,10 @@
-"""The platform's table, objects and instance list, in memory, with outages."""
+"""The stand-in of the product's own platform, before which an entry runs.
+
+Its table, objects and instance list in memory, with outages. Two others stand in for
+other things: `tests/platform/standin.py` for the users' platform and its servers,
+before which a gateway runs; `tests/common/fake_platform.py` for this one inside a test's
+own process, where a core is driven without sockets.
+"""
 
 import time
 from typing import Any
@@ -68,9 +74,30 @@
 
 def _routes(platform: PlatformStandIn) -> Klein:
     app = Klein()
+    faulted = _Faulted(platform)
+    _table_routes(app, platform, faulted)
+    _object_routes(app, platform, faulted)
+    _control_routes(app, platform)
+
+    @app.route("/instances", methods=["GET"])
+    def instances(request: Any) -> Any:
+        no = faulted.refused(request, "list_down")
+        if no is not None:
+            return no
+        listed = {"instances": platform.lagging_list()}
+        return faulted.answer(request, 200, listed, write=False)
+
+    return app
+
+
+class _Faulted:
+    """Answers as the faults that are set allow."""
 
-    def answer(request: Any, code: int, body: Any, write: bool) -> Any:
-        """Answer as the faults that are set allow."""
+    def __init__(self, platform: PlatformStandIn) -> None:
+        self.platform = platform
+
+    def answer(self, request: Any, code: int, body: Any, write: bool) -> Any:
+        platform = self.platform
         if write and platform.faults.get("lose_answers", 0) > 0:
             platform.faults["lose_answers"] -= 1
             request.transport.abortConnection()
@@ -82,66 +109,67 @@
             return deferLater(platform.reactor, delay_ms / 1000, lambda: data)
         return data
 
-    def refused(request: Any, fault: str = "store_down") -> Any:
-        if platform.faults.get("hang"):
+    def refused(self, request: Any, fault: str = "store_down") -> Any:
+        """What a request gets that isn't served at all; None if it is."""
+        if self.platform.faults.get("hang"):
             return Deferred()
-        if platform.refuses(fault):
+        if self.platform.refuses(fault):
             request.setResponseCode(503)
             return b"{}"
         return None
 
+
+def _table_routes(app: Klein, platform: PlatformStandIn, faulted: _Faulted) -> None:
     @app.route("/table/transact", methods=["POST"])
     def transact(request: Any) -> Any:
-        no = refused(request)
+        no = faulted.refused(request)
         if no is not None:
             return no
         platform.counts["table_writes"] += 1
         code, body = platform.transact(orjson.loads(request.content.read()))
-        return answer(request, code, body, write=True)
+        return faulted.answer(request, code, body, write=True)
 
     @app.route("/table/read", methods=["POST"])
     def read(request: Any) -> Any:
-        no = refused(request)
+        no = faulted.refused(request)
         if no is not None:
             return no
         platform.counts["table_reads"] += 1
         keys = orjson.loads(request.content.read())["keys"]
-        return answer(request, 200, platform.shown(keys), write=False)
+        return faulted.answer(request, 200, platform.shown(keys), write=False)
 
     @app.route("/table/scan")
     def scan(request: Any) -> Any:
-        no = refused(request)
+        no = faulted.refused(request)
         if no is not None:
             return no
         platform.counts["table_reads"] += 1
         prefix = request.args[b"prefix"][0].decode()
         limit = int(request.args[b"limit"][0])
         keys = sorted(key for key in platform.rows if key.startswith(prefix))
-        return answer(request, 200, platform.shown(keys[:limit]), write=False)
+        return faulted.answer(request, 200, platform.shown(keys[:limit]), write=False)
+
 
+def _object_routes(app: Klein, platform: PlatformStandIn, faulted: _Faulted) -> None:
     @app.route("/objects/<path:key>", methods=["PUT", "GET", "DELETE"])
     def objects(request: Any, key: str) -> Any:
-        no = refused(request)
+        no = faulted.refused(request)
         if no is not None:
             return no
         if request.method == b"GET":
             platform.counts["gets"] += 1
             data = platform.objects.get(key)
-            return answer(request, 404 if data is None else 200, data or b"", False)
+            code = 404 if data is None else 200
+            return faulted.answer(request, code, data or b"", write=False)
         platform.counts["puts"] += 1
         if request.method == b"PUT":
             platform.objects[key] = request.content.read()
         else:
             platform.objects.pop(key, None)
-        return answer(request, 200, {}, write=True)
+        return faulted.answer(request, 200, {}, write=True)
 
-    @app.route("/instances", methods=["GET"])
-    def instances(request: Any) -> Any:
-        no = refused(request, "list_down")
-        if no is not None:
-            return no
-        return answer(request, 200, {"instances": platform.lagging_list()}, False)
 
+def _control_routes(app: Klein, platform: PlatformStandIn) -> None:
     @app.route("/control/instances", methods=["POST"])
     def change(request: Any) -> bytes:
         platform.change_list(orjson.loads(request.content.read()))
@@ -161,5 +189,3 @@
                 "objects": {key: len(data) for key, data in platform.objects.items()},
             }
         )
-
-    return app
--- a/standins/site.py
+++ b/standins/site.py
@@ -190,10 +190,6 @@
         line = {"instance_id": name, "leaving": leaving}
         self.platform.ask("POST", "/control/instances", [line])
 
-    def unlist(self, name: str) -> None:
-        line = {"instance_id": name, "gone": True}
-        self.platform.ask("POST", "/control/instances", [line])
-
     def start_entries(self, count: int, **timers: int) -> None:
         names = [f"entry-{number}" for number in range(1, count + 1)]
         for name in names:
