--- a/standins/_platform.py
+++ b/standins/_platform.py
@@ -2,8 +2,8 @@
 
 Its table, objects and instance list in memory, with outages. Two others stand in for
 other things: `tests/platform/standin.py` for the users' platform and its servers,
-before which a gateway runs; `tests/common/fake_platform.py` for this one inside a test's
-own process, where a core is driven without sockets.
+before which a gateway runs; `tests/common/fake_platform.py` for this one inside a
+test's own process, where a core is driven without sockets.
 """
 
 import time
