--- a/src/coursekeel/routing/_score.py
+++ b/src/coursekeel/routing/_score.py
@@ -53,11 +53,11 @@
 
 # How much of a prompt's reading time its own endpoint may lie behind. 0.1 in place of
 # 0.9 made no difference on `quiet-1` (0.901 and 0.867 against 0.900 and 0.865 over six
-# seeds, docs/platform-results.md, try 5).
+# seeds, docs/tries.md, try 5).
 _AFFINITY_SHARE = 0.9
 
 # The same for a caller that comes back with a part of its answer: its prompt was surely
-# read, and its instance is gone. Part of try 1 of docs/platform-results.md (`scale-1`
+# read, and its instance is gone. Part of try 1 of docs/tries.md (`scale-1`
 # 0.425 to 0.478, 92799e31); not measured alone.
 _RESUMED_AFFINITY_SHARE = 2.0
 
--- a/src/coursekeel/settings/_gateway.py
+++ b/src/coursekeel/settings/_gateway.py
@@ -14,7 +14,7 @@
 # Shares of `revoke_ms`. A proof is at most a hold old when the store goes, so an
 # instance still acts on keys for 2.9 of 5 s then. With 0.78 and 0.46 it was 1.6 s (seen
 # in the recorded incident of ogvs-router); the site's score was 0.840 then and 0.902
-# after (docs/platform-results.md, try 3).
+# after (docs/tries.md, try 3).
 _KEY_AGE_SHARE = 0.92
 _HOLD_SHARE = 0.34  # see above
 # More than a hold and its answer, so that an instance in touch with the store can
@@ -22,7 +22,7 @@
 _UNKNOWN_SHARE = 0.52
 # Of `drain_ms`; the rest is for the store's answer, for the queue here, and for the way
 # there. 450 ms at 2 s: with 800 ms visor-litoral `quiet-1` had 0.801 to 0.810 against
-# 0.838 (docs/platform-results.md, try 7).
+# 0.838 (docs/tries.md, try 7).
 _GATHERING_SHARE = 0.225
 
 
