--- a/src/coursekeel/entry/_entry.py
+++ b/src/coursekeel/entry/_entry.py
@@ -13,9 +13,9 @@
 from coursekeel.endpoints import EngineAdapter, LeavingMark
 from coursekeel.entry._calls_task import CallsTask
 from coursekeel.entry.answers._adoption_task import AdoptionTask
+from coursekeel.entry.answers._answer_registry import AnswerRegistry
 from coursekeel.entry.answers._answer_store import AnswerStore
 from coursekeel.entry.answers._answer_task import AnswerPorts
-from coursekeel.entry.answers._answers_desk import AnswersDesk
 from coursekeel.entry.answers._expiry_task import ExpiryTask
 from coursekeel.entry.answers._journal_task import JournalTask
 from coursekeel.entry.answers._reader import ReaderPorts
@@ -140,7 +140,7 @@
             settings.instance_id,
             self.incarnation,
             self._fenced,
-            lambda keys: self.desk.journal_gained(keys),
+            lambda keys: self.registry.journal_gained(keys),
             self.configuration.registered,
             lambda: f"{settings.peer.host}:{self.peers.port}",
         )
@@ -151,12 +151,12 @@
             self.endpoints.silence,
             self.metrics,
             self._engine,
-            lambda task: self.desk.ended(task),
-            lambda task, name, head: self.desk.run_known(task, name, head),
+            lambda task: self.registry.ended(task),
+            lambda task, name, head: self.registry.run_known(task, name, head),
             settings.limits.caller_lead_tokens,
             settings.copies,
         )
-        self.desk = AnswersDesk(
+        self.registry = AnswerRegistry(
             self.reactor,
             settings.instance_id,
             ports,
@@ -193,7 +193,7 @@
             self.reactor,
             self.clock,
             self.platform,
-            self.desk,
+            self.registry,
             self.configuration,
             settings.timers,
             settings.limits,
@@ -218,14 +218,14 @@
         readers = ReaderPorts(
             self.reactor,
             self.clock,
-            self.desk,
+            self.registry,
             self.peers,
             self.adoption,
             settings.instance_id,
             _READER_PATIENCE_MS,
         )
         self.gate = Gate(settings, self.configuration)
-        self.caller_api = CallerApi(settings, self.gate, self.desk, readers)
+        self.caller_api = CallerApi(settings, self.gate, self.registry, readers)
         self.service_api = ServiceApi(self.gate, self.calls, self.clock, self.metrics)
         overview = Overview(
             settings,
@@ -233,7 +233,7 @@
             self.configuration,
             self.endpoints,
             self.orders,
-            self.desk,
+            self.registry,
             self.peers,
             self.platform,
             self.router,
@@ -260,7 +260,7 @@
         gauge(
             "coursekeel_open_answers",
             "Answers at work",
-            lambda: sum(not each.ended for each in self.desk.tasks.values()),
+            lambda: sum(not each.ended for each in self.registry.tasks.values()),
         )
 
     # Starting and stopping.
@@ -308,7 +308,7 @@
         await self._close()
 
     def _unfinished(self) -> list[Any]:
-        return [each for each in self.desk.tasks.values() if not each.settled]
+        return [each for each in self.registry.tasks.values() if not each.settled]
 
     async def _close(self) -> None:
         for task in self._tasks():
@@ -352,7 +352,7 @@
         return self.endpoints.engine(endpoint_id)
 
     def _endpoint_silent(self, endpoint_id: str) -> None:
-        for task in list(self.desk.tasks.values()):
+        for task in list(self.registry.tasks.values()):
             if not task.ended:
                 task.endpoint_silent(endpoint_id)
 
@@ -376,7 +376,7 @@
         """The lease is another's: give the durable answers up and start a new life."""
         self.incarnation = f"{self.settings.instance_id}~{uuid4().hex[:8]}"
         self.journal.begin_again(self.incarnation)
-        self.desk.incarnation_lost()
+        self.registry.incarnation_lost()
 
     def _greeting(self) -> Greeting:
         marks = self.endpoints.evidence.leaving_marks()[:_MARKS_A_GREETING]
@@ -396,7 +396,7 @@
         )
 
     def _serve_follow(self, request: Any) -> AsyncIterator[Any]:
-        return serve_follow(request, self.desk.find)
+        return serve_follow(request, self.registry.find)
 
     async def _alive(self) -> None:
         self.caller_api.keep_alive()
--- a/src/coursekeel/entry/answers/_adoption_task.py
+++ b/src/coursekeel/entry/answers/_adoption_task.py
@@ -16,7 +16,7 @@
     answer_key,
     segment_key,
 )
-from coursekeel.entry.answers._answers_desk import AnswersDesk
+from coursekeel.entry.answers._answer_registry import AnswerRegistry
 from coursekeel.entry.answers._journal_task import (
     LEASES_PREFIX,
     ORPHANS_PREFIX,
@@ -68,7 +68,7 @@
     reactor: Reactor
     clock: Clock
     platform: Platform
-    desk: AnswersDesk
+    registry: AnswerRegistry
     configuration: ConfigurationTask
     timers: Timers
     limits: Limits
@@ -108,7 +108,7 @@
         now_ms = self.clock.now_ms()
         for row in leases:
             key = row.key
-            if row.value["incarnation"] == self.desk.journal.incarnation:
+            if row.value["incarnation"] == self.registry.journal.incarnation:
                 continue
             self._watch.saw(key, row.version, now_ms)
             if self._watch.lapsed(key):
@@ -177,7 +177,7 @@
         if isinstance(orphans, Unavailable) or not orphans.rows:
             return False
         await self._adopt_key(key, next(iter(orphans.rows.values())))
-        return self.desk.find(team, request_id) is not None
+        return self.registry.find(team, request_id) is not None
 
     async def _adopt_key(self, key: str, orphan: Row) -> None:
         rows = await self.platform.read([key])
@@ -253,11 +253,11 @@
         found: JournalReader,
         orphan: Row,
     ) -> None:
-        ledger = found.ledger.continued_as(self.desk.generation_name())
+        ledger = found.ledger.continued_as(self.registry.generation_name())
         taken = self._taken_record(record, found, ledger, orphan)
         outcome = await self.platform.transact(
             Transaction(
-                {row.key: row.version, **self.desk.journal.fence()},
+                {row.key: row.version, **self.registry.journal.fence()},
                 {
                     row.key: taken.to_row(),
                     record.index_key: None,
@@ -272,7 +272,7 @@
         last = found.last
         started = Started(last.endpoint_id, last.run_id, last.label) if last else None
         log_event("answer_adopted", request=row.key, held_tokens=ledger.next_position)
-        self.desk.adopt(request, taken, version, ledger, started or Started())
+        self.registry.adopt(request, taken, version, ledger, started or Started())
 
     async def _version_if_taken(
         self, outcome: object, taken: AnswerRecord
@@ -280,7 +280,7 @@
         """The row's version if the takeover stands, a lost answer read back."""
         if isinstance(outcome, Committed):
             return outcome.versions[taken.key]
-        found = await self.desk.store.read(taken.team, taken.request_id)
+        found = await self.registry.store.read(taken.team, taken.request_id)
         if isinstance(found, Unavailable) or found is None:
             return None
         record, version = found
@@ -300,11 +300,11 @@
             )
         return evolve(
             record,
-            owner=self.desk.journal.incarnation,
+            owner=self.registry.journal.incarnation,
             epoch=record.epoch + 1,
-            order=self.desk.next_order(),
+            order=self.registry.next_order(),
             generation=ledger.generation,
-            first_segment=self.desk.journal.writer.next_segment,
+            first_segment=self.registry.journal.writer.next_segment,
             prior=prior,
         )
 
--- a/src/coursekeel/entry/answers/_answers_desk.py
+++ b/src/coursekeel/entry/answers/_answer_registry.py
@@ -1,4 +1,8 @@
-"""Every answer that this entry drives, and how durable ones are kept and settled."""
+"""Every answer that this entry drives, and how durable ones are kept and settled.
+
+Owns the answers by key, their rows' versions, and how many bytes of prompts the store
+doesn't hold yet. Relies on `AnswerStore` for rows and on `JournalTask` for segments.
+"""
 
 from attrs import define, evolve, field
 from twisted.internet.task import deferLater
@@ -30,7 +34,7 @@
     Unavailable,
 )
 
-__all__ = ["AnswersDesk"]
+__all__ = ["AnswerRegistry"]
 
 # Between two tries to write an answer's row. Chosen, not measured.
 _RETRY_S = 1.0
@@ -61,7 +65,7 @@
 
 
 @define(eq=False)
-class AnswersDesk:
+class AnswerRegistry:
     """Starts, finds and settles answers. One entry has one."""
 
     reactor: Reactor
--- a/src/coursekeel/entry/answers/_answer_task.py
+++ b/src/coursekeel/entry/answers/_answer_task.py
@@ -1,9 +1,12 @@
-"""The task that owns one answer: its core, its streams to engines, its readers."""
+"""The task that owns one answer: its core, its streams to engines, its readers.
+
+Relies on `AnswerPlacement` for where runs go, and on `AnswerDriver` to feed the core.
+"""
 
 from collections.abc import Callable
 from typing import Any
 
-from attrs import define, evolve, field
+from attrs import define, field
 
 from coursekeel.answers import (
     Action,
@@ -33,6 +36,7 @@
 )
 from coursekeel.endpoints import EngineAdapter, GenerationOrder, SilenceWatch
 from coursekeel.entry.answers._answer_measures import AnswerMeasures
+from coursekeel.entry.answers._answer_placement import AnswerPlacement
 from coursekeel.entry.answers._follower import FollowedAnswer, Follower
 from coursekeel.entry.answers._open_stream import (
     AttemptListener,
@@ -43,7 +47,7 @@
 from coursekeel.entry.answers._sinks import Refusal
 from coursekeel.observe import Metrics
 from coursekeel.reactor import Reactor
-from coursekeel.routing import Decision, Grant, PlacementRequest
+from coursekeel.routing import Decision, Grant
 from coursekeel.runtime import (
     AnswerDriver,
     AnswerShell,
@@ -105,9 +109,7 @@
     arrived_ms: float = field(init=False)
     _driver: AnswerDriver = field(init=False)
     _open: dict[int, OpenStream] = field(factory=dict)
-    _number: int | None = None
-    _placement: PlacementRequest | None = None
-    _granted: str = ""
+    _placement: AnswerPlacement = field(init=False)
     _measures: AnswerMeasures = field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -116,6 +118,7 @@
         self._driver = AnswerDriver(
             self.core, self, ports.reactor, ports.clock, _OWN_PAUSE_MS
         )
+        self._placement = AnswerPlacement(ports.routing, ports.clock, self.request)
         self._measures = AnswerMeasures(
             self.request, self.core.label, self.ports.metrics, self.arrived_ms
         )
@@ -189,7 +192,7 @@
     def event_taken(self, event: Event, actions: list[Action]) -> None:
         """Give back a place that was granted and not taken."""
         if isinstance(event, Granted):
-            self._return_grant()
+            self._placement.give_back()
 
     def head(self, attempt: int, head: StreamHead) -> None:
         """A stream opened."""
@@ -243,7 +246,7 @@
             case Deliver():
                 self._delivered(now_ms)
             case SeekEndpoint():
-                self._seek(action)
+                self._search(action)
             case OpenAttempt():
                 self._open_attempt(action)
             case CancelAttempt():
@@ -266,33 +269,11 @@
         self._measures.delivered(now_ms)
         self.wake_followers()
 
-    def _seek(self, action: SeekEndpoint) -> None:
-        request = self.request
-        now_ms = self.ports.clock.now_ms()
-        left = max(request.max_tokens - action.held_tokens, 1)
+    def _search(self, action: SeekEndpoint) -> None:
         self._measures.resumes_if(action.held_tokens)
-        placement = PlacementRequest(
-            team=request.team.name,
-            request_class=request.policy.name,
-            rank=request.policy.rank,
-            pool=request.model.name,
-            cost=request.prompt_tokens + left,
-            deadline_ms=now_ms + request.policy.patience_ms,
-            weight=request.team.weight,
-            continuing=action.continuing,
-            held_tokens=action.held_tokens,
-            prompt_tokens=request.prompt_tokens,
-            prompt_key=request.prompt_key,
-            excluded=action.excluded,
-        )
-        self._number = None
-        self._placement = placement
-        number = self.ports.routing.place(placement, self._decided)
-        if self._granted == "":
-            self._number = number
+        self._placement.search(action, self._decided)
 
     def _decided(self, decision: Decision) -> None:
-        self._number = None
         if not isinstance(decision, Grant):
             self.refusal = Refusal(
                 decision.code,
@@ -302,12 +283,10 @@
             )
             self.tell(NothingFree(decision.retry_after_ms))
             self._refused_by_routing()
-            return
-        self._granted = decision.endpoint_id
-        if self.ended:
-            self._return_grant()
-            return
-        self.tell(Granted(decision.endpoint_id))
+        elif self.ended:
+            self._placement.give_back()
+        else:
+            self.tell(Granted(decision.endpoint_id))
 
     def _known_run(self, run: RunState) -> RunState:
         """Under a caller's key only a stored row proves that nobody else runs it."""
@@ -320,19 +299,13 @@
         self.core.withdraw()
         self._end()
 
-    def _return_grant(self) -> None:
-        """Give back a place that no attempt took."""
-        if self._granted:
-            endpoint_id, self._granted = self._granted, ""
-            self.ports.routing.returned(endpoint_id, self.request.prompt_tokens)
-
     def _open_attempt(self, action: OpenAttempt) -> None:
         engine = self.ports.engine(action.endpoint_id)
-        if engine is None or not self._may_have(action):
-            self._return_grant()
+        if engine is None or not self._placement.may_have(action):
+            self._placement.give_back()
             self.tell(AttemptEnded(action.attempt, Loss.NOT_SENT))
             return
-        holds_place = self._take_place(action)
+        holds_place = self._placement.take_place(action)
         self._measures.attempt_opened(action)
         listener = AttemptListener(self, action.attempt)
         if action.way is Way.OWN_STREAM:
@@ -347,36 +320,15 @@
         opened.run_id = action.run_id
         self._open[action.attempt] = opened
 
-    def _may_have(self, action: OpenAttempt) -> bool:
-        """A copy is at an engine that routing didn't choose now; it may be leaving."""
-        router, now_ms = self.ports.routing.router, self.ports.clock.now_ms()
-        return action.way is not Way.COPY or router.may_take(action.endpoint_id, now_ms)
-
-    def _take_place(self, action: OpenAttempt) -> bool:
-        """Take the place that was granted, or one at the engine that keeps a copy."""
-        if action.way is Way.COPY:
-            self.ports.routing.router.sent_to_copy(action.endpoint_id)
-            return True
-        holds_place = action.way is Way.PREFILL and self._granted == action.endpoint_id
-        if holds_place:
-            self._granted = ""
-        return holds_place
-
     def _place_copy(self, action: OpenAttempt) -> str:
         """Choose who keeps a copy of this run, and return the engine's address."""
-        if not self.ports.copies or self._placement is None:
+        if not self.ports.copies:
             return ""
-        now_ms = self.ports.clock.now_ms()
-        router = self.ports.routing.router
-        request = evolve(
-            self._placement,
-            excluded=self._placement.excluded | self.core.bad_endpoints,
-        )
-        place = router.endpoints.for_copy(request, action.endpoint_id, now_ms)
-        engine = self.ports.engine(place)
+        keeper = self._placement.keeper(action, self.core.bad_endpoints)
+        engine = self.ports.engine(keeper)
         if engine is None:
             return ""
-        self.tell(CopyPlaced(action.attempt, place))
+        self.tell(CopyPlaced(action.attempt, keeper))
         return engine.address
 
     def _order(self, action: OpenAttempt, copy_to: str) -> GenerationOrder:
@@ -439,12 +391,10 @@
 
     def _end(self) -> None:
         self._driver.stop_alarm()
-        if self._number is not None:
-            self.ports.routing.withdraw(self._number)
-            self._number = None
+        self._placement.stop()
         for attempt in list(self._open):
             self._open[attempt].stream.close()
             self._let_go(attempt)
-        self._return_grant()
+        self._placement.give_back()
         self.ports.ended(self)
         self.wake_followers()
--- a/src/coursekeel/entry/answers/_reader.py
+++ b/src/coursekeel/entry/answers/_reader.py
@@ -9,8 +9,8 @@
 
 from coursekeel.answers import AnswerRecord, EventId, RecordState, RunState, digest_of
 from coursekeel.entry.answers._adoption_task import AdoptionTask
+from coursekeel.entry.answers._answer_registry import AnswerRegistry
 from coursekeel.entry.answers._answer_task import AnswerTask
-from coursekeel.entry.answers._answers_desk import AnswersDesk
 from coursekeel.entry.answers._follower import Follower
 from coursekeel.entry.answers._relay import relay_request, take_reply
 from coursekeel.entry.answers._sinks import AnswerSink, Refusal
@@ -50,7 +50,7 @@
 
     reactor: Reactor
     clock: Clock
-    desk: AnswersDesk
+    registry: AnswerRegistry
     peers: PeersTask
     adoption: AdoptionTask
     instance_id: str
@@ -77,7 +77,7 @@
         """Bring the caller to the end of the answer; False if there is no answer."""
         give_up_ms = self.ports.clock.now_ms() + self.ports.patience_ms
         while not self.sink.over:
-            task = self.ports.desk.find(self.team, self.request_id)
+            task = self.ports.registry.find(self.team, self.request_id)
             if task is not None and not task.gone:
                 await self.follow(task)
                 give_up_ms = self.ports.clock.now_ms() + self.ports.patience_ms
@@ -117,7 +117,7 @@
         if follower is not None:
             follower.over = True
             follower.task.left(follower)
-            self.ports.desk.left(follower.task)
+            self.ports.registry.left(follower.task)
         if self._moved is not None:
             self._leave(self._moved)
 
@@ -128,14 +128,14 @@
     # Elsewhere.
 
     async def _elsewhere(self) -> _Found:
-        found = await self.ports.desk.store.read(self.team, self.request_id)
+        found = await self.ports.registry.store.read(self.team, self.request_id)
         if isinstance(found, Unavailable) or found is None:
             return await self._by_hint(store_out=found is not None)
         record, _ = found
         if record.state is not RecordState.RUNNING:
             return await self._replay(record)
         owner = instance_of(record.owner)
-        if record.owner == self.ports.desk.journal.incarnation:
+        if record.owner == self.ports.registry.journal.incarnation:
             return _Found.LOOK_AGAIN
         return await self._relay(owner, record.owner)
 
@@ -173,7 +173,7 @@
 
     async def _replay(self, record: AnswerRecord) -> _Found:
         """Give what the store keeps of an answer that ended."""
-        result = await self.ports.desk.store.result(record)
+        result = await self.ports.registry.store.result(record)
         if isinstance(result, Unavailable):
             return _Found.LOOK_AGAIN
         start = self._start_of(result.tokens, record.generation)
--- a/src/coursekeel/entry/http/_api.py
+++ b/src/coursekeel/entry/http/_api.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 
 from coursekeel.answers import EventId, RunState
-from coursekeel.entry.answers._answers_desk import AnswersDesk
+from coursekeel.entry.answers._answer_registry import AnswerRegistry
 from coursekeel.entry.answers._reader import AnswerReader, ReaderPorts
 from coursekeel.entry.answers._requests import GenerationRequest, read_generation
 from coursekeel.entry.answers._sinks import Refusal
@@ -33,7 +33,7 @@
 
     settings: EntrySettings
     gate: Gate
-    desk: AnswersDesk
+    registry: AnswerRegistry
     readers: ReaderPorts
     open_streams: set[EventStream] = field(factory=set)
 
@@ -92,7 +92,7 @@
         return await result
 
     def _is_here(self, wanted: GenerationRequest) -> bool:
-        return self.desk.find(wanted.team.name, wanted.request_id) is not None
+        return self.registry.find(wanted.team.name, wanted.request_id) is not None
 
     async def _read(
         self, reader: AnswerReader, wanted: GenerationRequest, held: EventId | None
@@ -104,7 +104,7 @@
             if refusal is not None:
                 reader.sink.refuse(refusal)
                 return
-            self.desk.start(wanted)
+            self.registry.start(wanted)
         if not await reader.read():
             reader.sink.refuse(_not_found())
 
@@ -113,13 +113,13 @@
         team = wanted.team
         mine = [
             each
-            for each in self.desk.tasks.values()
+            for each in self.registry.tasks.values()
             if each.request.team.name == team.name and not each.ended
         ]
         if len(mine) >= team.open_answers_limit:
             text = f"team {team.name} has {len(mine)} open answers, its limit"
             return self._refusal("too_many_open", text, wanted.keyed)
-        if not self.desk.has_room(wanted):
+        if not self.registry.has_room(wanted):
             text = "the store is out and no more requests can be kept for it"
             return self._refusal("store_unavailable", text, wanted.keyed)
         return None
@@ -133,15 +133,15 @@
         if not wanted.policy.durable:
             text = "respond-async needs a class whose answers are durable"
             return refuse(request, not_run("bad_request", text))
-        task = self.desk.find(wanted.team.name, wanted.request_id)
+        task = self.registry.find(wanted.team.name, wanted.request_id)
         if task is None:
             refusal = self._no_room(wanted)
             if refusal is not None:
                 return refuse(request, refusal)
-            task = self.desk.start(wanted)
-        stored = await self.desk.until_stored(task)
+            task = self.registry.start(wanted)
+        stored = await self.registry.until_stored(task)
         if not stored:
-            self.desk.give_up(task)
+            self.registry.give_up(task)
             text = "the store can't take the request now"
             refusal = Refusal(
                 "store_unavailable", text, RunState.UNKNOWN, _RETRY_AFTER_MS
@@ -174,10 +174,10 @@
         team = self.gate.identify(request)
         if isinstance(team, Refusal):
             return refuse(request, team)
-        task = self.desk.find(team.name, request_id)
+        task = self.registry.find(team.name, request_id)
         if task is None:
             return refuse(request, _not_found())
-        self.desk.give_up(task)
+        self.registry.give_up(task)
         return send_json(request, 200, {"id": request_id, "state": task.core.state})
 
     # Streams.
--- a/src/coursekeel/entry/http/_overview.py
+++ b/src/coursekeel/entry/http/_overview.py
@@ -5,7 +5,7 @@
 
 from attrs import define
 
-from coursekeel.entry.answers._answers_desk import AnswersDesk
+from coursekeel.entry.answers._answer_registry import AnswerRegistry
 from coursekeel.entry.control._configuration_task import ConfigurationTask
 from coursekeel.entry.control._endpoints_task import EndpointsTask
 from coursekeel.entry.control._orders_task import OrdersTask
@@ -30,7 +30,7 @@
     configuration: ConfigurationTask
     endpoints_task: EndpointsTask
     orders: OrdersTask
-    desk: AnswersDesk
+    registry: AnswerRegistry
     peers: PeersTask
     platform: HttpPlatform
     router: Router
@@ -75,16 +75,16 @@
 
     def status(self) -> dict[str, Any]:
         """This entry's state, with the answers that are in trouble."""
-        tasks = list(self.desk.tasks.values())
+        tasks = list(self.registry.tasks.values())
         now_ms = self.clock.now_ms()
         return {
             "instance_id": self.settings.instance_id,
-            "incarnation": self.desk.journal.incarnation,
+            "incarnation": self.registry.journal.incarnation,
             "zone": self.settings.zone,
             "ready": self.configuration.ready,
             "isolated": self.endpoints_task.isolation.isolated(now_ms),
-            "store_out": self.desk.journal.store_out,
-            "lease_held": self.desk.journal.held,
+            "store_out": self.registry.journal.store_out,
+            "lease_held": self.registry.journal.held,
             "applied_revision": self.configuration.current.revision,
             "answers": dict(Counter(each.core.state for each in tasks)),
             "troubled": [
--- a/src/coursekeel/gateway/_refusals.py
+++ b/src/coursekeel/gateway/_refusals.py
@@ -3,14 +3,13 @@
 Rule: the status tells the truth about whether the request has run, and `Retry-After`
 says when trying again may help the caller. 503 is said only of a request that surely
 has not run, so that the caller may send it again whatever it does. A request that may
-have run ends with 504 when its time is over, with 502 otherwise, and with no time to
-come back. Routing's own refusals come with the wait that its queue predicts
-(`RouterSettings`, `coursekeel.routing`).
-
-Owns every `Retry-After` that the gateway itself says. Reason for short ones: callers
-wait at least that long, the balancer sends the next try to any instance, and most
-causes (an endpoint that died, an instance that lags) are over or elsewhere gone within
-a fraction of a second. None of the four was measured against another value.
+have run ends with 504 when its time is over, with 502 otherwise. Routing's own refusals
+come with the wait that its queue predicts (`routing/_forecast.py`).
+
+Owns every `Retry-After` that the gateway itself says. They are short because the
+balancer sends the next try to any instance, and because an endpoint that died is known
+to be dead within a fraction of a second. None of the four was measured against another
+value.
 """
 
 from http import HTTPStatus
@@ -30,8 +29,7 @@
 ]
 
 # Another instance can most likely serve it now: this one's keys are too old, it is
-# stopping, or it has spent its own part of a retry budget. Long enough for a balancer
-# that takes the caller's next try as a new connection. Chosen, not measured.
+# stopping, or it has spent its own part of a retry budget. Chosen, not measured.
 ELSEWHERE_RETRY_MS = 50.0
 
 # Nothing was found for a whole answer, or its time ran out before it was sent. Chosen,
--- a/src/coursekeel/gateway/_retry_budgets.py
+++ b/src/coursekeel/gateway/_retry_budgets.py
@@ -6,8 +6,7 @@
 The users bound repeats by a ratio of a pool's requests plus a slack in a window, over
 all instances together (`RetryShare`). Instances don't talk, so each keeps a part:
 
-- it earns half of the ratio by its own requests, since a request is seen by one
-  instance and its repeat possibly by another;
+- it earns half of the ratio by its own requests;
 - its part of the slack is one of `_PLANNED_INSTANCES`, of which a quarter comes back
   over the window and the rest can be saved up.
 
@@ -27,16 +26,16 @@
 
 # How many instances share a pool is told to nobody. Each site of the first milestone
 # has nine and three spares; chosen a little above, not measured. A site with more
-# passes the slack in the worst case (docs/findings.md), one with fewer repeats less
-# than it might.
+# passes the slack in the worst case (question 4 of docs/design/platform.md), one with
+# fewer repeats less than it might.
 _PLANNED_INSTANCES = 14
 
 # How much of an instance's part comes back over the window; the rest is there at the
 # start. Chosen, not measured; kept by tests/cover/test_shared_budget.py.
 _REFILLED_SHARE = 0.25
 
-# Of the ratio's repeats, the part earned by a request at the instance that sees it.
-# Chosen, not measured: the other half is slack for repeats that callers make elsewhere.
+# Of the ratio's repeats, the part that a request earns at the instance that sees it.
+# Chosen, not measured.
 _OWN_SHARE = 0.5
 
 
