--- a/src/coursekeel/entry/answers/_reader.py
+++ b/src/coursekeel/entry/answers/_reader.py
@@ -1,10 +1,11 @@
 """Finds an answer wherever it is, and keeps a caller on it when it moves."""
 
+import logging
 from enum import Enum
 from typing import Any, Protocol
 
 from attrs import define, field
-from twisted.internet.defer import Deferred
+from twisted.internet.defer import CancelledError, Deferred
 from twisted.internet.task import deferLater
 
 from coursekeel.answers import AnswerRecord, EventId, RecordState, RunState, digest_of
@@ -159,7 +160,17 @@
         relay.call = done
         try:
             outcome = await done
-        except Exception:  # cancelled, because no first reply came
+        except CancelledError:
+            # No first reply came in time: the owner is looked for again.
+            outcome = None
+        except Exception as failure:
+            log_event(
+                "relay_failed",
+                logging.WARNING,
+                owner=owner,
+                request=self.request_id,
+                error=f"{type(failure).__name__}: {failure}",
+            )
             outcome = None
         finally:
             if timer.active():
