--- a/src/coursekeel/forwarding/_directory.py
+++ b/src/coursekeel/forwarding/_directory.py
@@ -30,7 +30,7 @@
 
 @define
 class _Health:
-    """What this instance's own requests told of one incarnation."""
+    """What this instance's own requests met at one incarnation."""
 
     ejected_until_ms: float = float("-inf")
     ejection_ms: float = 0.0
--- a/src/coursekeel/gateway/_caller_reply.py
+++ b/src/coursekeel/gateway/_caller_reply.py
@@ -68,7 +68,7 @@
         self.finish()
 
     def refuse(self, refusal: GatewayRefusal) -> None:
-        """Send a final word of the gateway's own, with when to come back if it says."""
+        """Send a reply of the gateway's own."""
         headers = [(b"content-type", b"text/plain")]
         if refusal.retry_after_ms:
             after_s = f"{refusal.retry_after_ms / MS_PER_SECOND:.3f}"
--- a/src/coursekeel/gateway/_load_reports.py
+++ b/src/coursekeel/gateway/_load_reports.py
@@ -27,7 +27,7 @@
 
 @define(eq=False)
 class LoadReports:
-    """Asks for reports; each is given to routing before it is told of."""
+    """Asks for reports; routing gets each one before whoever asked for it."""
 
     context: GatewayContext
 
--- a/src/coursekeel/gateway/_refusals.py
+++ b/src/coursekeel/gateway/_refusals.py
@@ -48,9 +48,9 @@
 
 @frozen
 class GatewayRefusal:
-    """The gateway's own final word; ``retry_after_ms`` 0 says nothing of coming back.
+    """A reply of the gateway's own; with ``retry_after_ms`` 0 without `Retry-After`.
 
-    ``code`` stands in the body, in the log and in the metrics' outcome. The codes
+    ``code`` is the body, and the outcome in the log and the metrics. The codes
     `belief_old` (what is known of keys is too old) and `no_pool` are older than the
     names used in here, and callers know them.
     """
@@ -63,7 +63,7 @@
 def refusal_without_endpoint(
     run: RunState, code: str, retry_after_ms: float
 ) -> GatewayRefusal:
-    """The word on a request for which there is no endpoint, or no repeat, now.
+    """The reply to a request for which there is no endpoint, or no repeat, now.
 
     Even one that may have run is told when to come back: its caller asks for the rest
     of a stream by the number of the last event, which runs nothing twice.
@@ -76,7 +76,7 @@
 def refusal_after_loss(
     run: RunState, code: str, retry_after_ms: float
 ) -> GatewayRefusal:
-    """The word on a request whose answer was lost, or is overdue (code `timeout`)."""
+    """The reply to a request whose answer was lost or is overdue (code `timeout`)."""
     if run is RunState.NOT_RUN:
         return GatewayRefusal(HTTPStatus.SERVICE_UNAVAILABLE, code, retry_after_ms)
     if code == "timeout":
--- a/src/coursekeel/gateway/_request.py
+++ b/src/coursekeel/gateway/_request.py
@@ -10,8 +10,8 @@
 
 __all__ = ["AdmittedRequest"]
 
-# A team's rank goes before its route's, whose ranks are single digits by the users'
-# pages. The factor only has to be greater than any route's rank.
+# A team's rank goes before its route's. The factor only has to be greater than any
+# route's rank; those of the sheets are single digits.
 _ROUTE_RANKS = 100
 
 
--- a/src/coursekeel/gateway/_retry_budgets.py
+++ b/src/coursekeel/gateway/_retry_budgets.py
@@ -24,7 +24,7 @@
 
 __all__ = ["RetryBudgets", "shared_budget"]
 
-# How many instances share a pool is told to nobody. Each site of the first milestone
+# An instance can't know how many others share a pool. Each site of the first milestone
 # has nine and three spares; chosen a little above, not measured. A site with more
 # passes the slack in the worst case (question 4 of docs/design/platform.md), one with
 # fewer repeats less than it might.
--- a/src/coursekeel/gateway/_stream_reply.py
+++ b/src/coursekeel/gateway/_stream_reply.py
@@ -1,7 +1,7 @@
 """What the caller of a stream gets, and what is counted and logged of it.
 
 Owns the reply, when its first event left, and since when it has been waiting for a lost
-run to go on. Each final word is given once; what comes after it does nothing.
+run to go on. A reply ends once; what comes after that does nothing.
 """
 
 from http import HTTPStatus
--- a/src/coursekeel/gateway/_whole_task.py
+++ b/src/coursekeel/gateway/_whole_task.py
@@ -58,7 +58,7 @@
 
 @define(eq=False)
 class WholeAnswerTask(TryOwner):
-    """Drives a `CallCore`: finds an endpoint, sends, and gives the final word."""
+    """Drives a `CallCore`: finds an endpoint, sends, and replies."""
 
     context: GatewayContext
     call: AdmittedRequest
@@ -194,7 +194,7 @@
         self._give_up(refusal_after_loss(word.run, code, self._retry_after_ms))
 
     def _due(self) -> None:
-        """The route's or the caller's time is over: the final word comes now."""
+        """The route's or the caller's time is over: the reply comes now."""
         self._deadline = None
         may_have_run = self._current is not None or self.core.may_have_run
         self._stop_work()
--- a/src/coursekeel/routing/_forecast.py
+++ b/src/coursekeel/routing/_forecast.py
@@ -2,9 +2,9 @@
 
 Rule: a request is refused when it comes if no endpoint is known for its pool, if too
 many wait already, or if its queue moves so slowly that it would wait for most of its
-time; and while it waits, once its time is over. Whoever is refused is told to come back
-after the wait that is expected, spread by lot so that not all come at once. Reason: a
-caller that is refused at once can go elsewhere, one that waits in vain can't.
+time; and while it waits, once its time is over. `Retry-After` is the wait that is
+expected, spread by lot so that not all come at once. Reason: a caller that is refused
+at once can go elsewhere, one that waits in vain can't.
 
 Owns how fast each pool's queue moves. A core: each moment is given, in ms. Measured
 (docs/bench-summary.md, `python -m bench.policy`): with a rate averaged over each
--- a/src/coursekeel/routing/_router.py
+++ b/src/coursekeel/routing/_router.py
@@ -25,7 +25,7 @@
 
 @frozen
 class RouterSettings:
-    """Bounds on what waits, and on how refusals are told to come back.
+    """Bounds on what waits, and on the `Retry-After` of refusals.
 
     ``refusal_hold_ms``: refusals of one endpoint within it shrink its limit once.
     ``avoid_ms``: a continuing request waits so long for an endpoint that it need not
