--- a/src/coursekeel/group/__init__.py
+++ b/src/coursekeel/group/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances are there: members that ping each other and pass news on."""
+"""The group of instances: membership by SWIM, over datagrams."""
 
 from coursekeel.group._members import MemberEvent, MemberEventKind
 from coursekeel.group._messages import (
@@ -12,7 +12,7 @@
     decode_message,
     encode_message,
 )
-from coursekeel.group._swim import Outgoing, Swim, SwimTerms
+from coursekeel.group._swim import Outgoing, Swim, SwimTimers
 from coursekeel.group._tokens import AddressTokens
 
 __all__ = [
@@ -27,7 +27,7 @@
     "ProofHint",
     "Swim",
     "SwimMessage",
-    "SwimTerms",
+    "SwimTimers",
     "UnreadableMessage",
     "decode_message",
     "encode_message",
--- a/src/coursekeel/group/_members.py
+++ b/src/coursekeel/group/_members.py
@@ -1,11 +1,11 @@
-"""The members that are known, and the news of them that is passed on.
+"""The state of the other members, and the updates about them that are still to be sent.
 
-Rule: what is said of a member counts by its incarnation, which only the member itself
-raises, and of the same incarnation the worse word counts. Each change is told a bounded
-number of times, so that what a member sends doesn't grow with the group.
+Rule: an update with a higher incarnation wins, and only the member itself raises its
+incarnation. Of the same incarnation the worse state wins. Each update is sent a number
+of times that grows with the logarithm of the group's size, so that messages stay small.
 
-Owns the members, the news still to be told and the events for the log. A core: each
-moment is given, in ms.
+Owns the members, the updates to be sent and the events for the log. A core: the caller
+passes each time, in ms.
 """
 
 import math
@@ -17,18 +17,19 @@
 
 from coursekeel.group._messages import MemberState, News
 
-__all__ = ["NEWS_A_MESSAGE", "MemberEvent", "MemberEventKind", "Members"]
+__all__ = ["MAX_UPDATES_PER_MESSAGE", "MemberEvent", "MemberEventKind", "Members"]
 
-# News in one message: with the longest addresses and zones it stays below
+# With the longest addresses and zones a message of these stays below
 # `MAX_MESSAGE_BYTES`.
-NEWS_A_MESSAGE = 8
-# How often each word is told, in logarithms of the group's size (SWIM's lambda).
-_TOLD_FACTOR = 3
-# A stranger can't make a member hold more than this; docs/CAPACITY.md plans for 380.
+MAX_UPDATES_PER_MESSAGE = 8
+# Sends of each update, per logarithm of the group's size (SWIM's lambda).
+_RETRANSMIT_FACTOR = 3
+# Limits the memory that updates of an unknown sender can use; docs/CAPACITY.md plans
+# for 380 members.
 _MAX_MEMBERS = 1_000
 _MAX_PORT = 65_535  # RFC 9293
 
-_RANKS = {
+_STATE_RANKS = {
     MemberState.ALIVE: 0,
     MemberState.SUSPECT: 1,
     MemberState.GONE: 2,
@@ -37,7 +38,7 @@
 
 
 class MemberEventKind(Enum):
-    """What became of a member, as this one sees it."""
+    """How a member's state changed in this member's view."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
@@ -48,13 +49,13 @@
 
 @frozen
 class MemberEvent:
-    """Something for the log."""
+    """A change of a member's state, for the log."""
 
     kind: MemberEventKind
     address: str
 
 
-_EVENTS = {
+_EVENT_KINDS = {
     MemberState.ALIVE: MemberEventKind.RETURNED,
     MemberState.SUSPECT: MemberEventKind.SUSPECTED,
     MemberState.GONE: MemberEventKind.LOST,
@@ -76,147 +77,162 @@
 
 @define(eq=False)
 class Members:
-    """All others that are known; this member itself isn't among them.
+    """The other members by address; this member itself is not among them.
 
-    ``joined`` is called with the address of one that wasn't known before, and ``lost``
-    with one that is gone or has left.
+    ``joined`` is called with the address of each new member, and ``lost`` with that of
+    each member that is gone or has left. A member is present while it is alive or
+    suspect.
     """
 
     joined: Callable[[str], None]
     lost: Callable[[str], None]
     events: list[MemberEvent] = field(factory=list)
     _members: dict[str, _Member] = field(factory=dict)
-    _to_tell: dict[str, int] = field(factory=dict)
+    _sends_left: dict[str, int] = field(factory=dict)
 
     def __contains__(self, address: str) -> bool:
         return address in self._members
 
     def alive(self, zone: str | None = None) -> list[str]:
-        """The addresses of those that nothing speaks against."""
+        """The addresses of members that are not suspected, of one zone or of all."""
         return [
             address
-            for address, each in self._members.items()
-            if each.state is MemberState.ALIVE and zone in (None, each.zone)
+            for address, member in self._members.items()
+            if member.state is MemberState.ALIVE and zone in (None, member.zone)
         ]
 
-    def counted(self) -> list[str]:
-        """The addresses of those that are there, suspects included."""
-        return [address for address, each in self._members.items() if each.counts]
+    def present(self) -> list[str]:
+        """The addresses of the present members, suspects included."""
+        return [a for a, member in self._members.items() if member.counts]
 
     def serving(self) -> list[str]:
-        """The addresses of those that may serve: who left may for some seconds more."""
+        """The addresses of members that may serve: one that left drains for seconds."""
         left = MemberState.LEFT
         members = self._members.items()
-        return [a for a, each in members if each.counts or each.state is left]
+        return [a for a, member in members if member.counts or member.state is left]
 
     def gone(self) -> list[str]:
-        """The addresses of those that were lost without a word."""
+        """The addresses of members that were lost without leaving."""
         gone = MemberState.GONE
-        return [a for a, each in self._members.items() if each.state is gone]
+        return [a for a, member in self._members.items() if member.state is gone]
 
-    def counts(self, address: str) -> bool:
-        """Say whether the member is there, suspect or not."""
+    def is_present(self, address: str) -> bool:
+        """Whether the member is alive or suspect."""
         member = self._members.get(address)
         return member is not None and member.counts
 
     @property
-    def known(self) -> int:
-        """How many there are or were lately; those that left told so themselves."""
+    def known_count(self) -> int:
+        """The number of members that are present or were lost, without those that left.
+
+        Lost members count until they are forgotten.
+        """
         left = MemberState.LEFT
-        return sum(each.state is not left for each in self._members.values())
+        return sum(member.state is not left for member in self._members.values())
 
     def zones(self) -> set[str]:
-        """The availability zones of those that are there."""
-        return {each.zone for each in self._members.values() if each.counts}
+        """The availability zones of the present members."""
+        return {member.zone for member in self._members.values() if member.counts}
 
-    # What is said of members.
+    # Updates that were received.
 
-    def take(self, news: News, now_ms: float) -> bool:
-        """Take a word on a member; False if something newer is known."""
-        known = self._members.get(news.address)
-        if known is None:
-            self._take_unknown(news, now_ms)
+    def apply(self, update: News, now_ms: float) -> bool:
+        """Apply an update about a member; False if a newer one was applied before."""
+        member = self._members.get(update.address)
+        if member is None:
+            self._add(update, now_ms)
             return True
-        newer = (news.incarnation, _RANKS[news.state])
-        older = (known.incarnation, _RANKS[known.state])
-        if newer <= older:
-            return newer == older
-        known.zone, known.incarnation = news.zone, news.incarnation
-        self._change(news.address, known, news.state, now_ms)
+        received = (update.incarnation, _STATE_RANKS[update.state])
+        current = (member.incarnation, _STATE_RANKS[member.state])
+        if received <= current:
+            return received == current
+        member.zone, member.incarnation = update.zone, update.incarnation
+        self._change(update.address, member, update.state, now_ms)
         return True
 
-    def _take_unknown(self, news: News, now_ms: float) -> None:
-        if news.state not in (MemberState.ALIVE, MemberState.SUSPECT):
+    def _add(self, update: News, now_ms: float) -> None:
+        if update.state not in (MemberState.ALIVE, MemberState.SUSPECT):
             return
-        if len(self._members) >= _MAX_MEMBERS or not _is_address(news.address):
+        if len(self._members) >= _MAX_MEMBERS or not _is_address(update.address):
             return
-        member = _Member(news.zone, news.incarnation, news.state, now_ms)
-        self._members[news.address] = member
-        self.joined(news.address)
-        self._spread(news.address)
-        self.events.append(MemberEvent(MemberEventKind.JOINED, news.address))
+        member = _Member(update.zone, update.incarnation, update.state, now_ms)
+        self._members[update.address] = member
+        self.joined(update.address)
+        self._queue_update(update.address)
+        self.events.append(MemberEvent(MemberEventKind.JOINED, update.address))
 
     def suspect(self, address: str, now_ms: float) -> None:
-        """The member didn't answer, not even through others."""
+        """Suspect a member that acknowledged neither a direct nor an indirect ping."""
         member = self._members.get(address)
         if member is not None and member.state is MemberState.ALIVE:
             self._change(address, member, MemberState.SUSPECT, now_ms)
 
-    def judge_suspects(
-        self, now_ms: float, suspicion_ms: float, forgotten_ms: float
+    def expire(
+        self, now_ms: float, suspicion_timeout_ms: float, forget_after_ms: float
     ) -> None:
-        """Suspects that don't contradict in time are gone, and forgotten later."""
+        """Mark suspects as gone after their timeout, and later forget absent members.
+
+        Members that left are forgotten too.
+        """
         for address, member in list(self._members.items()):
-            since_ms = now_ms - member.since_ms
+            in_state_ms = now_ms - member.since_ms
             if member.state is MemberState.SUSPECT:
-                if since_ms >= suspicion_ms:
+                if in_state_ms >= suspicion_timeout_ms:
                     self._change(address, member, MemberState.GONE, now_ms)
-            elif not member.counts and since_ms >= forgotten_ms:
+            elif not member.counts and in_state_ms >= forget_after_ms:
                 del self._members[address]
 
     def _change(
         self, address: str, member: _Member, state: MemberState, now_ms: float
     ) -> None:
         before, member.state, member.since_ms = member.state, state, now_ms
-        self._spread(address)
+        self._queue_update(address)
         if state is not MemberState.ALIVE or before is not MemberState.ALIVE:
-            self.events.append(MemberEvent(_EVENTS[state], address))
+            self.events.append(MemberEvent(_EVENT_KINDS[state], address))
         if state in (MemberState.GONE, MemberState.LEFT):
             self.lost(address)
 
-    # What is told of them.
+    # Updates to be sent.
 
-    def _spread(self, address: str) -> None:
+    def _queue_update(self, address: str) -> None:
         size = len(self._members) + 1
-        self._to_tell[address] = _TOLD_FACTOR * math.ceil(math.log2(size + 1))
-
-    def tell_again(self, address: str) -> None:
-        """Someone says of itself what was contradicted: it must hear of that."""
-        self._to_tell[address] = max(self._to_tell.get(address, 0), 1)
-
-    def latest(self, first: str) -> tuple[News, ...]:
-        """The news told least often so far; what concerns ``first`` before all."""
-        wanted = sorted(
-            self._to_tell, key=lambda each: (each != first, -self._to_tell[each])
-        )[:NEWS_A_MESSAGE]
-        for address in wanted:
-            self._to_tell[address] -= 1
-            if self._to_tell[address] <= 0:
-                del self._to_tell[address]
-        return tuple(self._news_of(wanted))
+        self._sends_left[address] = _RETRANSMIT_FACTOR * math.ceil(math.log2(size + 1))
+
+    def resend_update(self, address: str) -> None:
+        """Send the update about a member at least once more.
+
+        A member that sent an outdated state of itself must receive the current one.
+        """
+        self._sends_left[address] = max(self._sends_left.get(address, 0), 1)
+
+    def next_updates(self, first: str) -> tuple[News, ...]:
+        """The updates for the next message: about ``first``, then the least sent."""
+        addresses = sorted(
+            self._sends_left, key=lambda a: (a != first, -self._sends_left[a])
+        )[:MAX_UPDATES_PER_MESSAGE]
+        for address in addresses:
+            self._sends_left[address] -= 1
+            if self._sends_left[address] <= 0:
+                del self._sends_left[address]
+        return tuple(self._updates(addresses))
 
     def digest(self, own: str, incarnation: int) -> str:
-        """The same at all that know the same members by the same incarnations."""
-        known = [f"{own}/{incarnation}"]
-        known += [f"{a}/{m.incarnation}" for a, m in self._members.items() if m.counts]
-        return xxhash.xxh64_hexdigest(",".join(sorted(known)).encode())
+        """A hash of the present members and their incarnations, this member included.
+
+        ``own`` is this member's address.
+        """
+        present = [f"{own}/{incarnation}"]
+        present += [
+            f"{a}/{m.incarnation}" for a, m in self._members.items() if m.counts
+        ]
+        return xxhash.xxh64_hexdigest(",".join(sorted(present)).encode())
 
-    def everybody(self, asker: str) -> list[News]:
-        """All that are there, and what is said of the asker itself."""
-        there = (a for a, each in self._members.items() if each.counts or a == asker)
-        return list(self._news_of(there))
+    def all_updates(self, requester: str) -> list[News]:
+        """Updates about all present members, and about the requester in any state."""
+        addresses = (a for a, m in self._members.items() if m.counts or a == requester)
+        return list(self._updates(addresses))
 
-    def _news_of(self, addresses: Iterable[str]) -> Iterator[News]:
+    def _updates(self, addresses: Iterable[str]) -> Iterator[News]:
         for address in addresses:
             member = self._members.get(address)
             if member is not None:
--- a/src/coursekeel/group/_messages.py
+++ b/src/coursekeel/group/_messages.py
@@ -1,7 +1,7 @@
-"""What members of a group tell each other in datagrams, and how it is written.
+"""The datagrams that members of a group send each other, and their encoding.
 
-Owns the messages' form: JSON, bounded in size, each field checked where it is decoded.
-Relies on `coursekeel.strict` and orjson; knows nothing of sockets.
+Owns the format: JSON of bounded size, with each field checked when it is decoded.
+Relies on `coursekeel.strict` and orjson; uses no sockets.
 """
 
 from enum import Enum
@@ -25,15 +25,14 @@
     "encode_message",
 ]
 
-# Below the payload of one Ethernet frame, so that no datagram is split.
+# Below the payload of one Ethernet frame, so that no datagram is fragmented.
 MAX_MESSAGE_BYTES = 1_400
 
-# Enough of a fault for a log line.
 _MAX_FAULT_CHARACTERS = 200
 
 
 class MemberState(Enum):
-    """What is said of a member; of the same incarnation the later of these counts."""
+    """A member's state; of the same incarnation the one further down wins."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -42,12 +41,12 @@
 
 
 class MessageKind(Enum):
-    """What a message asks or answers.
+    """The kind of a message.
 
-    ``PROBE`` asks a member to ping the target in the sender's place; ``JOIN`` asks for
-    everybody, whom one or more ``WELCOME`` name; its target is a digest of whom the
-    sender knows. The first ``JOIN`` gets an ``ECHO``, whose number the next one must
-    bring.
+    ``PING`` requests an ``ACK``; ``PROBE`` requests that the receiver ping the target
+    for the sender. ``JOIN`` requests the list of members, which comes in one or more
+    ``WELCOME``; its target is a digest of the sender's members. A ``JOIN`` without a
+    valid token gets an ``ECHO``, whose number is the token for the next one.
     """
 
     PING = "ping"
@@ -60,7 +59,7 @@
 
 @frozen
 class News:
-    """What is said of one member. ``address`` is host and port."""
+    """An update about one member. ``address`` is host and port."""
 
     address: str
     zone: str
@@ -70,9 +69,10 @@
 
 @frozen
 class ProofHint:
-    """Whose proof of a table is the freshest that the sender has heard of.
+    """The member whose copy of a table has the latest confirmation by the store.
 
-    ``stamp`` is the prover's own name for that proof.
+    ``stamp`` is that member's identifier of the confirmation, ``age_ms`` the age of the
+    confirmation when the message was sent.
     """
 
     table: str
@@ -83,12 +83,13 @@
 
 @frozen
 class SwimMessage:
-    """One datagram. ``number`` ties an answer to its question; ``target`` is a probe's.
+    """One datagram.
 
-    ``suspects`` is a digest of the requests that the sender suspects of ending
-    endpoints; empty from one that doesn't say.
-
-    ``group`` names the deployment, so that a stray member of another one is told apart.
+    ``group`` names the deployment, so that messages of another one can be recognized.
+    ``number`` matches a reply to its request, or is a token (`AddressTokens`).
+    ``target`` is the member to ping, or a digest of members (see `MessageKind`).
+    ``suspects`` is a digest of the requests that the sender suspects of crashing
+    endpoints, empty if the sender gives none.
     """
 
     group: str
@@ -105,7 +106,7 @@
 
 @frozen
 class UnreadableMessage:
-    """A datagram that is no message; ``fault`` names the field and what was wrong."""
+    """A datagram that is no valid message; ``fault`` names the field and the error."""
 
     fault: str
 
@@ -114,19 +115,19 @@
 
 
 def encode_message(message: SwimMessage) -> bytes:
-    """The datagram of a message."""
+    """Encode a message as a datagram."""
     return orjson.dumps(attrs.asdict(message, value_serializer=_plain))
 
 
 def decode_message(data: bytes) -> SwimMessage | UnreadableMessage:
-    """Read a datagram."""
+    """Decode a datagram; an invalid one is returned as `UnreadableMessage`."""
     if len(data) > MAX_MESSAGE_BYTES:
         return UnreadableMessage(
             f"got {len(data)} bytes, expected at most {MAX_MESSAGE_BYTES}"
         )
     try:
         return _CONVERTER.structure(orjson.loads(data), SwimMessage)
-    except Exception as failure:  # whatever a stranger sends is a value here
+    except Exception as failure:  # any input must give a value
         faults = "; ".join(faults_of(failure, whole="message"))
         return UnreadableMessage(faults[:_MAX_FAULT_CHARACTERS])
 
--- a/src/coursekeel/group/_pings.py
+++ b/src/coursekeel/group/_pings.py
@@ -1,7 +1,8 @@
-"""The pings under way, and whose turn is next.
+"""Outstanding pings, and the order in which members are pinged.
 
-Rule: an order by lot reaches all before anyone twice; who is new gets a place in it by
-lot. A core: each moment is given, in ms.
+Rule: targets are taken from a shuffled list, so that each member is pinged once per
+round; a new member is inserted at a random place. A core: the caller passes each time,
+in ms.
 """
 
 from collections.abc import Iterable
@@ -14,69 +15,77 @@
 
 @define
 class Ping:
-    """A question under way; ``asker`` is whom it was asked for, empty for oneself."""
+    """A ping without an acknowledgement so far.
+
+    ``indirect`` is set once helpers were requested to ping the target too.
+    ``requester`` is the member that requested the ping by a ``PROBE``, empty for this
+    member's own pings; ``requester_number`` is the number of that ``PROBE``.
+    """
 
     target: str
     sent_ms: float
-    helped: bool = False
-    asker: str = ""
-    asker_number: int = 0
+    indirect: bool = False
+    requester: str = ""
+    requester_number: int = 0
 
 
 @define(eq=False)
 class Pings:
-    """Questions by number, and the order of the next targets."""
+    """Outstanding pings by number, and the targets left in this round."""
 
     random: Random
-    _under_way: dict[int, Ping] = field(factory=dict)
+    _pending: dict[int, Ping] = field(factory=dict)
     _order: list[str] = field(factory=list)
     _number: int = 0
 
-    def begin(self, ping: Ping) -> int:
-        """A ping is sent; returns its number."""
+    def add(self, ping: Ping) -> int:
+        """Store a ping that is about to be sent; returns its number."""
         self._number += 1
-        self._under_way[self._number] = ping
+        self._pending[self._number] = ping
         return self._number
 
-    def under_way(self) -> list[tuple[int, Ping]]:
-        """All that weren't answered yet."""
-        return list(self._under_way.items())
+    def pending(self) -> list[tuple[int, Ping]]:
+        """The pings that weren't acknowledged so far, with their numbers."""
+        return list(self._pending.items())
+
+    def discard(self, number: int) -> None:
+        """Remove a ping that timed out."""
+        self._pending.pop(number, None)
 
-    def end(self, number: int) -> None:
-        """The ping was answered, or came to nothing."""
-        self._under_way.pop(number, None)
+    def acknowledge(self, number: int, sender: str) -> Ping | None:
+        """Remove and return the ping that an ``ACK`` belongs to, None without one.
 
-    def answered(self, number: int, sender: str) -> Ping | None:
-        """The ping that an answer ends; None if it answers none of them."""
-        ping = self._under_way.get(number)
-        if ping is None or (sender != ping.target and not ping.helped):
+        Only an indirect ping may be acknowledged by another member than its target.
+        """
+        ping = self._pending.get(number)
+        if ping is None or (sender != ping.target and not ping.indirect):
             return None
-        del self._under_way[number]
+        del self._pending[number]
         return ping
 
     def clear(self) -> None:
-        """This process was paused: the answers may have come meanwhile."""
-        self._under_way.clear()
+        """Drop all pings after a pause of this process, which may have missed ACKs."""
+        self._pending.clear()
 
-    # Whose turn it is.
+    # The order of the targets.
 
-    def joined(self, address: str) -> None:
-        """A new member has its turn at a place by lot."""
+    def add_target(self, address: str) -> None:
+        """Insert a new member at a random place of this round."""
         at = self.random.randint(0, len(self._order))
         self._order.insert(at, address)
 
-    def next_target(self, everybody: Iterable[str]) -> str:
-        """Whose turn is next; empty if there is nobody.
+    def next_target(self, present: Iterable[str]) -> str:
+        """The next member to ping; empty if there is none.
 
-        ``everybody`` are those that are there; the order is drawn from them anew when
-        all had their turn.
+        ``present`` are the addresses of the members that are present. A new round is
+        shuffled from them when all have been pinged.
         """
-        there = list(everybody)
-        while there:
+        members = list(present)
+        while members:
             if not self._order:
-                self._order = list(there)
+                self._order = list(members)
                 self.random.shuffle(self._order)
             target = self._order.pop()
-            if target in there:
+            if target in members:
                 return target
         return ""
--- a/src/coursekeel/group/_proofs.py
+++ b/src/coursekeel/group/_proofs.py
@@ -1,7 +1,7 @@
-"""Whose proof of a table is the freshest, by what members say.
+"""Which member has the most recent confirmation of each table by the store.
 
-Owns, for each table, the freshest proof heard of from each member. A core: each moment
-is given, in ms of this process's clock.
+Owns, for each table, the latest confirmation received from each member. A core: the
+caller passes each time, in ms of this process's clock.
 """
 
 import math
@@ -10,57 +10,62 @@
 
 from coursekeel.group._messages import ProofHint
 
-__all__ = ["Proofs"]
+__all__ = ["Confirmations"]
 
-# Strangers can't make a member hold more tables than this.
+# Limits the memory that messages of an unknown sender can use.
 _MAX_TABLES = 8
 
 
 @define
-class _Proof:
+class _Confirmation:
     stamp: int
-    moment_ms: float
+    confirmed_ms: float
 
 
 @define(eq=False)
-class Proofs:
-    """What was heard of proofs, by table and by the member that has them."""
+class Confirmations:
+    """The latest confirmations, by table and by the address of the confirmed member."""
 
-    _by_table: dict[str, dict[str, _Proof]] = field(factory=dict)
+    _by_table: dict[str, dict[str, _Confirmation]] = field(factory=dict)
 
-    def heard(self, table: str, address: str, stamp: int, moment_ms: float) -> None:
-        """Take word of a proof.
+    def record(self, table: str, address: str, stamp: int, confirmed_ms: float) -> None:
+        """Record that a member's copy of a table was confirmed at ``confirmed_ms``.
 
-        Word that was long on its way makes a proof look younger by as much. The same
-        proof heard again counts by its oldest word, or echoes would make it ever
-        younger.
+        ``stamp`` identifies the confirmation. The time is estimated from the age in a
+        message, so a delayed message makes it too late by its delay. Of several
+        estimates for one stamp the earliest counts; otherwise messages that are passed
+        on would make a confirmation seem ever more recent.
         """
         if table not in self._by_table and len(self._by_table) >= _MAX_TABLES:
             return
-        proofs = self._by_table.setdefault(table, {})
-        known = proofs.get(address)
-        if known is not None and known.stamp == stamp:
-            known.moment_ms = min(known.moment_ms, moment_ms)
-        elif known is None or moment_ms > known.moment_ms:
-            proofs[address] = _Proof(stamp, moment_ms)
+        confirmations = self._by_table.setdefault(table, {})
+        current = confirmations.get(address)
+        if current is not None and current.stamp == stamp:
+            current.confirmed_ms = min(current.confirmed_ms, confirmed_ms)
+        elif current is None or confirmed_ms > current.confirmed_ms:
+            confirmations[address] = _Confirmation(stamp, confirmed_ms)
 
     def freshest(self, table: str) -> tuple[str, float]:
-        """The member with the freshest proof, if any, and the proof's moment."""
-        proofs = self._by_table.get(table, {})
-        address = max(proofs, key=lambda each: proofs[each].moment_ms, default="")
-        return address, proofs[address].moment_ms if address else -math.inf
+        """The member with the latest confirmation and its time; "", -inf without."""
+        confirmations = self._by_table.get(table, {})
+        address = max(
+            confirmations, key=lambda a: confirmations[a].confirmed_ms, default=""
+        )
+        return address, confirmations[address].confirmed_ms if address else -math.inf
 
     def forget(self, address: str) -> None:
-        """The member is gone, and nobody can ask it for its proofs."""
-        for proofs in self._by_table.values():
-            proofs.pop(address, None)
+        """Remove a member that is gone: it can't be queried for its copies."""
+        for confirmations in self._by_table.values():
+            confirmations.pop(address, None)
 
     def hints(self, now_ms: float) -> tuple[ProofHint, ...]:
-        """What to tell others: the freshest of each table, and its age."""
+        """The latest confirmation of each table, to be sent to other members."""
         hints = []
-        for table, proofs in self._by_table.items():
-            address, moment_ms = self.freshest(table)
-            age_ms = max(0.0, round(now_ms - moment_ms, 1))
+        for table, confirmations in self._by_table.items():
+            address, confirmed_ms = self.freshest(table)
+            age_ms = max(0.0, round(now_ms - confirmed_ms, 1))
             if math.isfinite(age_ms):
-                hints.append(ProofHint(table, address, proofs[address].stamp, age_ms))
+                hints.append(
+                    ProofHint(table, address, confirmations[address].stamp, age_ms)
+                )
         return tuple(hints)
--- a/src/coursekeel/group/_tokens.py
+++ b/src/coursekeel/group/_tokens.py
@@ -1,7 +1,8 @@
-"""Tokens that show that whoever asks gets what is sent to the address that it names.
+"""Tokens that verify that a requester receives what is sent to its address.
 
-A datagram's source may be forged. Whoever would be sent much must first bring a token
-that was sent to its address, or a stranger could make members flood whomever it names.
+A datagram's source address may be forged. A large reply is therefore sent only to a
+requester that returns a token sent to its address; otherwise anyone could use members
+to flood a third address.
 
 Owns a secret of this process.
 """
@@ -12,22 +13,23 @@
 
 __all__ = ["AddressTokens"]
 
-# A token is a number of four bytes: a stranger guesses it once in four billion tries.
+# A four-byte token is guessed with one of four billion tries.
 _TOKEN_BYTES = 4
 
 
 @frozen
 class AddressTokens:
-    """Tokens by address; only this process can name them."""
+    """Computes each address's token from ``secret``, which never leaves the process."""
 
     secret: bytes = field(repr=False)
 
-    # A number as long as the longest token.
+    # No valid token, but as many digits as the longest, so that a request without a
+    # token isn't shorter than the reply that carries one.
     NONE = 10 ** len(str(256**_TOKEN_BYTES)) - 1
     SECRET_BYTES = 16
 
     def of(self, address: str) -> int:
-        """The token of an address."""
+        """The token of an address (host and port)."""
         digest = hashlib.blake2b(
             address.encode(), key=self.secret, digest_size=_TOKEN_BYTES
         )
--- a/tests/cover/test_swim.py
+++ b/tests/cover/test_swim.py
@@ -234,7 +234,7 @@
     lists = 0
     for member in network.members.values():
         for other in set(network.addresses) - {member.own}:
-            asked = member._ask_everybody(other)
+            asked = member._request_members(other)
             (echo,) = network.members[other].received(asked.message, network.now_ms)
             (shown,) = member.received(echo.message, network.now_ms)
             answers = network.members[other].received(shown.message, network.now_ms)
@@ -242,7 +242,7 @@
     assert lists == 0
     newcomer = Swim("10.0.9.9:7215", "a", "g", (), Random(1))
     member = network.members[network.addresses[0]]
-    asked = newcomer._ask_everybody(member.own)
+    asked = newcomer._request_members(member.own)
     (echo,) = member.received(asked.message, network.now_ms)
     (shown,) = newcomer.received(echo.message, network.now_ms)
     told = member.received(shown.message, network.now_ms)
