--- a/src/coursekeel/endpoints/__init__.py
+++ b/src/coursekeel/endpoints/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoints: evidence, silence, orders, and the adapters that speak to them."""
+"""Endpoints: evidence for new work, silence detection, orders, and adapters."""
 
 from coursekeel.endpoints._adapter import (
     EndpointStatus,
--- a/src/coursekeel/endpoints/_adapter.py
+++ b/src/coursekeel/endpoints/_adapter.py
@@ -1,4 +1,4 @@
-"""What coursekeel asks of a model engine or plain service, whatever its protocol."""
+"""The interface to model engines and plain services, independent of the protocol."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -23,15 +23,14 @@
 
 @frozen
 class GenerationOrder:
-    """A run that an engine is asked for.
-
-    ``request`` is the caller's request as it came, so that a batch of photographs is
-    held once; ``prefix_tokens`` are what the answer holds already. ``cache_salt``
-    keeps one team's prompts out of another's cache. ``copy_to`` is the address of an
-    engine that shall keep a copy of the run's memory, empty if none shall; ``copy_of``
-    is the run whose copy this engine keeps, empty if the prompt is to be read.
-    ``may_send`` is asked once the connection stands: a run may have been given up, or
-    its engine have left, while this process was paused.
+    """A run to start on an engine.
+
+    ``request`` is the caller's request body, unchanged and not copied.
+    ``prefix_tokens`` are the answer's tokens so far. ``cache_salt`` separates the
+    teams' prompt caches. ``copy_to`` is the address of an engine that is to keep a copy
+    of the run's memory, ``copy_of`` the run whose copy this engine has; each may be
+    empty. ``may_send`` is called once the connection is made, since the run may have
+    been abandoned while connecting.
     """
 
     label: str
@@ -48,7 +47,7 @@
 
 @frozen
 class EndpointStatus:
-    """An endpoint's own word of itself."""
+    """An endpoint's own status report."""
 
     incarnation: str
     leaving: bool
@@ -61,14 +60,18 @@
 
 @frozen
 class Unreachable:
-    """The endpoint gave no word; ``refused`` if its address refused the connection."""
+    """No status was received; ``refused`` if no connection could be made."""
 
     refused: bool
     reason: str
 
 
 class OrderOutcome(Enum):
-    """How an order went."""
+    """The outcome of sending an order.
+
+    ``OLD_EPOCH``: the endpoint refused the epoch as outdated. ``UNSURE``: the order may
+    have had its effect.
+    """
 
     OBEYED = "obeyed"
     OLD_EPOCH = "old_epoch"
@@ -77,37 +80,37 @@
 
 
 class StreamListener(ABC):
-    """Takes what a stream says; `ended` comes last, and once."""
+    """Receives the events of a stream; `ended` is called last, and once."""
 
     @abstractmethod
     def head(self, head: StreamHead) -> None:
-        """The stream said what serves it."""
+        """The head arrived, which names the run and the model that serves it."""
 
     @abstractmethod
     def tokens(
         self, run_id: str, position: int, tokens: list[int], texts: list[str]
     ) -> None:
-        """Tokens of a run came that stand at ``position`` and after."""
+        """Tokens of a run arrived; ``position`` is that of the first in the answer."""
 
     @abstractmethod
     def finish(self, run_id: str, position: int, reason: str) -> None:
-        """The engine's own finish marker came."""
+        """The engine's finish marker arrived; ``position`` follows the last token."""
 
     @abstractmethod
     def ended(self, loss: Loss) -> None:
-        """The stream is over, whether or not a finish marker came before."""
+        """The stream closed, with or without a finish marker before."""
 
 
 class EngineStream(ABC):
-    """A stream under way."""
+    """An open stream of a run."""
 
     @abstractmethod
     def pause(self) -> None:
-        """Stop reading, so that the engine is held up instead of memory filling."""
+        """Stop reading, which applies back pressure to the engine."""
 
     @abstractmethod
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading."""
 
     @abstractmethod
     def close(self) -> None:
@@ -115,37 +118,41 @@
 
 
 class EngineAdapter(ABC):
-    """One engine; ``address`` is what other engines know it by."""
+    """One engine; other engines reach it at ``address`` (host and port)."""
 
     address: str
 
     @abstractmethod
     def open(self, order: GenerationOrder, listener: StreamListener) -> EngineStream:
-        """Ask for a run."""
+        """Start a run and stream it to the listener."""
 
     @abstractmethod
     def take_up(
         self, run_id: str, position: int, listener: StreamListener
     ) -> EngineStream:
-        """Read a run that the engine has, from ``position`` on."""
+        """Stream a run that the engine already has, from token ``position`` on."""
 
     @abstractmethod
     async def stop(self, run_id: str) -> None:
-        """Tell the engine to stop a run; a lost word is made good by its linger."""
+        """Request that the engine stop a run.
+
+        If the request is lost, the engine stops the run after its linger time.
+        """
 
     @abstractmethod
     async def status(self, anew: bool = False) -> EndpointStatus | Unreachable:
-        """Ask the endpoint for its word.
+        """Query the endpoint's status.
 
-        ``anew`` asks on a connection of its own: one that was kept may just have been
-        closed, which says nothing of whether the endpoint lives.
+        ``anew`` opens a new connection: a kept one may just have been closed, which
+        does not mean that the endpoint failed.
         """
 
     @abstractmethod
     async def give(
-        self, order: Order, epoch: int, may_give: Callable[[], bool]
+        self, order: Order, epoch: int, may_send: Callable[[], bool]
     ) -> OrderOutcome:
-        """Give an order under the lease's epoch.
+        """Send an order with the epoch of the group's lease.
 
-        ``may_give`` is asked again once a connection has been made.
+        ``may_send`` is called once a connection has been made; False withholds the
+        order.
         """
--- a/src/coursekeel/endpoints/_evidence.py
+++ b/src/coursekeel/endpoints/_evidence.py
@@ -1,9 +1,8 @@
-"""What lets new work go to an endpoint: fresh evidence that it isn't leaving.
+"""Whether endpoints may take new work: fresh evidence that they aren't leaving.
 
-Only the endpoint's own word counts as evidence for it, because the platform's list
-lags by an unknown time. The list, and what other entries tell, count against it. A
-leaving mark sticks to an incarnation: nothing said later about that incarnation
-removes it.
+Rule: only the endpoint's own status reports count for it, because the platform's list
+lags by an unknown time. The list and the leaving marks of other entries only count
+against it. A leaving mark on an incarnation is never removed.
 """
 
 from collections.abc import Iterable
@@ -14,21 +13,20 @@
 
 __all__ = ["EvidenceBook", "LeavingMark"]
 
-# How many incarnations before the present one are remembered, so that a late report of
-# one isn't taken for news. More restarts than a minute brings.
-_FORMER_KEPT = 8
+# Former incarnations that are remembered, so that their late reports are recognized.
+_MAX_FORMER_INCARNATIONS = 8
 
 
 @frozen
 class LeavingMark:
-    """An incarnation of an endpoint that takes no new work."""
+    """An incarnation of an endpoint that is leaving and takes no new work."""
 
     endpoint_id: str
     incarnation: str
 
 
 @define
-class _Known:
+class _Evidence:
     machine: Machine = field(factory=lambda: load_chart("endpoint").machine())
     incarnation: str = ""
     seen_ms: float = float("-inf")
@@ -39,102 +37,103 @@
 
 @define
 class EvidenceBook:
-    """Everything an entry knows of whether endpoints may take new work.
+    """An entry's evidence on whether endpoints may take new work.
 
-    ``fresh_ms`` is how old the endpoint's own word may be before new work stops.
+    ``fresh_ms`` is the greatest age of an endpoint's own status at which it still
+    counts for new work.
     """
 
     fresh_ms: float
-    _known: dict[str, _Known] = field(factory=dict)
+    _evidence: dict[str, _Evidence] = field(factory=dict)
 
     def saw(
         self, endpoint_id: str, incarnation: str, leaving: bool, asked_ms: float
     ) -> bool:
-        """Take the endpoint's own word, asked for at ``asked_ms``.
+        """Record the endpoint's own status, which was requested at ``asked_ms``.
 
-        The time of asking counts, not that of the answer: an answer can sit in a
-        buffer for long while its reader is paused. Returns False for the word of an
+        The time of the request counts, not that of the response, which may have waited
+        in a buffer while this process was paused. Returns False for the status of an
         incarnation that another has replaced.
         """
-        known = self._known.setdefault(endpoint_id, _Known())
-        if incarnation in known.former:
+        evidence = self._evidence.setdefault(endpoint_id, _Evidence())
+        if incarnation in evidence.former:
             return False
-        if incarnation != known.incarnation:
-            self._replace(known, incarnation)
-        known.seen_ms = max(known.seen_ms, asked_ms)
-        if leaving or known.listed_leaving:
-            known.marked.add(incarnation)
-        marked = incarnation in known.marked
-        known.machine.feed("seen_leaving" if marked else "seen_serving")
+        if incarnation != evidence.incarnation:
+            self._replace(evidence, incarnation)
+        evidence.seen_ms = max(evidence.seen_ms, asked_ms)
+        if leaving or evidence.listed_leaving:
+            evidence.marked.add(incarnation)
+        marked = incarnation in evidence.marked
+        evidence.machine.feed("seen_leaving" if marked else "seen_serving")
         return True
 
-    def _replace(self, known: _Known, incarnation: str) -> None:
-        if known.incarnation:
-            known.former.append(known.incarnation)
-            del known.former[:-_FORMER_KEPT]
-            known.machine.feed("returned")
-        known.incarnation = incarnation
+    def _replace(self, evidence: _Evidence, incarnation: str) -> None:
+        if evidence.incarnation:
+            evidence.former.append(evidence.incarnation)
+            del evidence.former[:-_MAX_FORMER_INCARNATIONS]
+            evidence.machine.feed("returned")
+        evidence.incarnation = incarnation
 
     def listed(self, endpoint_id: str, leaving: bool) -> None:
-        """Take the platform's word, which can only count against the endpoint."""
-        known = self._known.setdefault(endpoint_id, _Known())
-        known.listed_leaving = leaving
-        if leaving and known.incarnation:
-            known.marked.add(known.incarnation)
-            known.machine.feed("seen_leaving")
+        """Record the platform list's state, which only counts against the endpoint."""
+        evidence = self._evidence.setdefault(endpoint_id, _Evidence())
+        evidence.listed_leaving = leaving
+        if leaving and evidence.incarnation:
+            evidence.marked.add(evidence.incarnation)
+            evidence.machine.feed("seen_leaving")
 
     def hinted(self, mark: LeavingMark) -> None:
-        """Take another entry's word that an incarnation is leaving."""
-        known = self._known.setdefault(mark.endpoint_id, _Known())
-        known.marked.add(mark.incarnation)
-        if mark.incarnation == known.incarnation:
-            known.machine.feed("seen_leaving")
+        """Record another entry's report that an incarnation is leaving."""
+        evidence = self._evidence.setdefault(mark.endpoint_id, _Evidence())
+        evidence.marked.add(mark.incarnation)
+        if mark.incarnation == evidence.incarnation:
+            evidence.machine.feed("seen_leaving")
 
     def lost(self, endpoint_id: str) -> None:
-        """The endpoint refused a connection: it serves nobody until seen again."""
-        known = self._known.setdefault(endpoint_id, _Known())
-        known.seen_ms = float("-inf")
-        known.machine.feed("lost")
+        """Record a refused connection: no new work until the next status."""
+        evidence = self._evidence.setdefault(endpoint_id, _Evidence())
+        evidence.seen_ms = float("-inf")
+        evidence.machine.feed("lost")
 
     def may_take_new_work(self, endpoint_id: str, now_ms: float) -> bool:
-        """Say whether there is fresh evidence that new work is welcome."""
-        known = self._known.get(endpoint_id)
-        if known is None or self.is_leaving(endpoint_id):
+        """Whether fresh evidence shows that the endpoint takes new work."""
+        evidence = self._evidence.get(endpoint_id)
+        if evidence is None or self.is_leaving(endpoint_id):
             return False
-        return now_ms - known.seen_ms <= self.fresh_ms
+        return now_ms - evidence.seen_ms <= self.fresh_ms
 
     def is_leaving(self, endpoint_id: str) -> bool:
-        """Say whether somebody said that the endpoint, as it is now, leaves."""
-        known = self._known.get(endpoint_id)
-        if known is None:
+        """Whether the list or a mark on the current incarnation says it is leaving."""
+        evidence = self._evidence.get(endpoint_id)
+        if evidence is None:
             return False
-        return known.listed_leaving or known.incarnation in known.marked
+        return evidence.listed_leaving or evidence.incarnation in evidence.marked
 
     def state(self, endpoint_id: str, now_ms: float) -> str:
-        """The endpoint's state in a word, for operators."""
-        known = self._known.get(endpoint_id)
-        if known is None:
+        """The endpoint's state, as shown to operators."""
+        evidence = self._evidence.get(endpoint_id)
+        if evidence is None:
             return "unseen"
-        stale = now_ms - known.seen_ms > self.fresh_ms
-        if known.machine.state == "serving" and stale:
+        stale = now_ms - evidence.seen_ms > self.fresh_ms
+        if evidence.machine.state == "serving" and stale:
             return "evidence_old"
-        return known.machine.state
+        return evidence.machine.state
 
     def incarnation(self, endpoint_id: str) -> str:
-        """The incarnation last seen, empty if none was."""
-        known = self._known.get(endpoint_id)
-        return known.incarnation if known else ""
+        """The endpoint's current incarnation, empty without a status so far."""
+        evidence = self._evidence.get(endpoint_id)
+        return evidence.incarnation if evidence else ""
 
     def leaving_marks(self) -> list[LeavingMark]:
-        """The marks on present incarnations, to be passed on to other entries."""
+        """The marks on current incarnations, to be sent to other entries."""
         return [
-            LeavingMark(endpoint_id, known.incarnation)
-            for endpoint_id, known in self._known.items()
-            if known.incarnation in known.marked
+            LeavingMark(endpoint_id, evidence.incarnation)
+            for endpoint_id, evidence in self._evidence.items()
+            if evidence.incarnation in evidence.marked
         ]
 
     def keep_only(self, endpoint_ids: Iterable[str]) -> None:
-        """Forget endpoints that no configuration names."""
-        keep = set(endpoint_ids)
-        for endpoint_id in [each for each in self._known if each not in keep]:
-            del self._known[endpoint_id]
+        """Remove all endpoints except these, which the configuration names."""
+        configured = set(endpoint_ids)
+        for endpoint_id in [e for e in self._evidence if e not in configured]:
+            del self._evidence[endpoint_id]
--- a/src/coursekeel/endpoints/_http_body.py
+++ b/src/coursekeel/endpoints/_http_body.py
@@ -1,4 +1,4 @@
-"""A request's body that is sent in pieces without being joined."""
+"""A request body that is sent in chunks without joining them."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -10,8 +10,8 @@
 
 __all__ = ["ChunkedBody"]
 
-# What is written to a socket at a time, the usual size of a socket's buffer.
-_PIECE_BYTES = 64 * 1024
+# The usual size of a socket's buffer.
+_WRITE_BYTES = 64 * 1024
 
 
 @implementer(IBodyProducer)
@@ -20,35 +20,35 @@
 
     def __init__(self, chunks: list[bytes]) -> None:
         self._chunks = chunks
-        self.length = sum(len(each) for each in chunks)
+        self.length = sum(len(chunk) for chunk in chunks)
         self._task: CooperativeTask[Any] | None = None
 
     def startProducing(self, consumer: Any) -> "defer.Deferred[None]":
-        """Start to write; fires when everything was written."""
-        self._task = cooperate(self._pieces(consumer))
+        """Start writing; the deferred fires when everything was written."""
+        self._task = cooperate(self._writes(consumer))
         done: defer.Deferred[Any] = self._task.whenDone()
-        # A task that is stopped fails its deferred; the connection's loss is told
-        # elsewhere.
+        # A stopped task fails its deferred; the lost connection is reported by the
+        # request itself.
         return done.addCallbacks(lambda _: None, lambda _: None)
 
-    def _pieces(self, consumer: Any) -> Iterator[None]:
+    def _writes(self, consumer: Any) -> Iterator[None]:
         for chunk in self._chunks:
             view = memoryview(chunk)
-            for start in range(0, len(chunk), _PIECE_BYTES):
-                consumer.write(bytes(view[start : start + _PIECE_BYTES]))
+            for start in range(0, len(chunk), _WRITE_BYTES):
+                consumer.write(bytes(view[start : start + _WRITE_BYTES]))
                 yield None
 
     def pauseProducing(self) -> None:
-        """Wait until the connection has room."""
+        """Pause until the connection's buffer has room."""
         if self._task is not None:
             self._task.pause()
 
     def resumeProducing(self) -> None:
-        """Go on."""
+        """Continue writing."""
         if self._task is not None:
             self._task.resume()
 
     def stopProducing(self) -> None:
-        """The connection is lost."""
+        """Stop writing, since the connection is lost."""
         if self._task is not None:
             self._task.stop()
--- a/src/coursekeel/endpoints/_http_engine.py
+++ b/src/coursekeel/endpoints/_http_engine.py
@@ -1,4 +1,4 @@
-"""Engines met over HTTP: JSON requests, streams of JSON lines."""
+"""Engines over HTTP: JSON requests, and streams of JSON lines."""
 
 from http import HTTPStatus
 from typing import Any
@@ -37,16 +37,16 @@
 
 __all__ = ["HttpEngine"]
 
-# An engine that checks epochs refuses an order under an old one so.
+# The response of an engine that checks epochs to an order with an old one.
 _OLD_EPOCH = HTTPStatus.CONFLICT
-# The longest line of an engine's stream; a line is some tokens. It bounds what a broken
-# engine can make this process hold.
+# The longest line of a stream, which holds some tokens. It limits the memory that a
+# broken engine can use here.
 _LINE_LIMIT_BYTES = 1 << 20
 _JSON = Headers({"content-type": ["application/json"]})
 
 
-class _Lines(LineOnlyReceiver):
-    """Turns a response's body into the listener's calls."""
+class _LineReader(LineOnlyReceiver):
+    """Splits a response's body into lines for its stream."""
 
     delimiter = b"\n"
     MAX_LENGTH = _LINE_LIMIT_BYTES
@@ -69,83 +69,83 @@
 class _HttpStream(EngineStream):
     def __init__(self, listener: StreamListener) -> None:
         self._listener = listener
-        self._lines = _Lines(self)
+        self._reader = _LineReader(self)
         self._request: defer.Deferred[Any] | None = None
-        self._over = False
+        self._closed = False
         self._paused = False
 
     def start(self, request: "defer.Deferred[Any]") -> None:
         self._request = request
-        request.addCallbacks(self._answered, self._failed)
+        request.addCallbacks(self._on_response, self._on_failure)
 
-    def _answered(self, response: Any) -> None:
+    def _on_response(self, response: Any) -> None:
         self._request = None
-        if self._over:
+        if self._closed:
             response.deliverBody(_Discard())
             return
         if response.code != HTTPStatus.OK:
             response.deliverBody(_Discard())
             self.lost(Loss.REFUSED)
             return
-        response.deliverBody(self._lines)
+        response.deliverBody(self._reader)
         if self._paused:
             self.pause()
 
-    def _failed(self, failure: Failure) -> None:
+    def _on_failure(self, failure: Failure) -> None:
         self._request = None
         self.lost(Loss.NOT_SENT if failure.check(ConnectError) else Loss.GONE)
 
     def line(self, line: bytes) -> None:
-        if self._over:
+        if self._closed:
             return
         try:
-            said = orjson.loads(line)
-            self._say(said)
+            message = orjson.loads(line)
+            self._dispatch(message)
         except (ValueError, KeyError, TypeError):
-            # What can't be read can't be counted on; reading again sorts it out.
+            # After an invalid line the position is unsure; the stream is opened again.
             self.lost(Loss.CUT)
 
-    def _say(self, said: dict[str, Any]) -> None:
-        tokens = said.get("t")
+    def _dispatch(self, message: dict[str, Any]) -> None:
+        tokens = message.get("t")
         if tokens is not None:
-            self._listener.tokens(said["r"], said["p"], tokens, said["s"])
-        elif "head" in said:
-            self._listener.head(_head(said["head"]))
+            self._listener.tokens(message["r"], message["p"], tokens, message["s"])
+        elif "head" in message:
+            self._listener.head(_head(message["head"]))
         else:
-            self._listener.finish(said["r"], said["p"], said["finish"])
+            self._listener.finish(message["r"], message["p"], message["finish"])
 
     def lost(self, loss: Loss) -> None:
-        if not self._over:
-            self._over = True
-            self._shut()
+        if not self._closed:
+            self._closed = True
+            self._disconnect()
             self._listener.ended(loss)
 
     def pause(self) -> None:
         self._paused = True
-        transport: Any = self._lines.transport
+        transport: Any = self._reader.transport
         if transport is not None:
             transport.pauseProducing()
 
     def resume(self) -> None:
         self._paused = False
-        transport: Any = self._lines.transport
+        transport: Any = self._reader.transport
         if transport is not None:
             transport.resumeProducing()
 
     def close(self) -> None:
-        self._over = True
-        self._shut()
+        self._closed = True
+        self._disconnect()
 
-    def _shut(self) -> None:
+    def _disconnect(self) -> None:
         if self._request is not None:
             self._request.cancel()
-        elif self._lines.transport is not None:
-            transport: Any = self._lines.transport
+        elif self._reader.transport is not None:
+            transport: Any = self._reader.transport
             transport.loseConnection()
 
 
 class _Discard(LineOnlyReceiver):
-    """Closes a connection whose body nobody wants."""
+    """Closes the connection of a response whose body is not needed."""
 
     def connectionMade(self) -> None:
         transport: Any = self.transport
@@ -169,55 +169,60 @@
 
 @define(eq=False)
 class HttpEngine(EngineAdapter):
-    """An engine, or a plain service's control side, at ``address`` (host:port)."""
+    """An engine or the control interface of a plain service.
+
+    ``address`` is host and port; ``timeout_ms`` bounds each call except streams.
+    """
 
     reactor: Reactor
     address: str
     connect_ms: int
     timeout_ms: int
-    _streams: DirectAgents = field(init=False)
+    _stream_agents: DirectAgents = field(init=False)
     _fetcher: Fetcher = field(init=False)
-    _fresh: Fetcher = field(init=False)
+    _unpooled_fetcher: Fetcher = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        # A stream closes its connection, so none is kept for reuse.
-        self._streams = DirectAgents(
+        # Each stream closes its connection, so none is kept for reuse.
+        self._stream_agents = DirectAgents(
             self.reactor, self.connect_ms, keeps_connections=False
         )
         self._fetcher = Fetcher(self.reactor, self.connect_ms)
-        self._fresh = Fetcher(self.reactor, self.connect_ms, keeps_connections=False)
+        self._unpooled_fetcher = Fetcher(
+            self.reactor, self.connect_ms, keeps_connections=False
+        )
 
     def open(self, order: GenerationOrder, listener: StreamListener) -> EngineStream:
-        """Ask for a run."""
+        """Start a run and stream it to the listener."""
         stream = _HttpStream(listener)
-        body = ChunkedBody(_chunks(order))
-        agent = self._streams.agent(order.may_send)
+        body = ChunkedBody(_run_body(order))
+        agent = self._stream_agents.agent(order.may_send)
         stream.start(agent.request(b"POST", self._url("/generate"), _JSON, body))
         return stream
 
     def take_up(
         self, run_id: str, position: int, listener: StreamListener
     ) -> EngineStream:
-        """Read a run that the engine has, from ``position`` on."""
+        """Stream a run that the engine already has, from token ``position`` on."""
         stream = _HttpStream(listener)
         url = self._url(f"/streams/{run_id}?from={position}")
-        stream.start(self._streams.agent().request(b"GET", url))
+        stream.start(self._stream_agents.agent().request(b"GET", url))
         return stream
 
     async def stop(self, run_id: str) -> None:
-        """Tell the engine to stop a run."""
-        await self._ask("DELETE", f"/streams/{run_id}", None)
+        """Request that the engine stop a run."""
+        await self._call("DELETE", f"/streams/{run_id}", None)
 
     async def status(self, anew: bool = False) -> EndpointStatus | Unreachable:
-        """Ask the endpoint for its word."""
-        fetcher = self._fresh if anew else self._fetcher
-        answer = await self._ask("GET", "/status", None, fetcher=fetcher)
-        if isinstance(answer, Unreachable):
-            return answer
-        return _status(orjson.loads(answer.body))
-
-    async def give(self, order: Order, epoch: int, may_give: MaySend) -> OrderOutcome:
-        """Give an order under the lease's epoch."""
+        """Query the endpoint's status; ``anew`` opens a new connection."""
+        fetcher = self._unpooled_fetcher if anew else self._fetcher
+        reply = await self._call("GET", "/status", None, fetcher=fetcher)
+        if isinstance(reply, Unreachable):
+            return reply
+        return _status(orjson.loads(reply.body))
+
+    async def give(self, order: Order, epoch: int, may_send: MaySend) -> OrderOutcome:
+        """Send an order with the epoch of the group's lease."""
         body: dict[str, Any] = {
             "order": order.kind.value,
             "group": order.group,
@@ -227,18 +232,18 @@
         if order.serves is not None:
             serves = order.serves
             body["serves"] = [serves.model, serves.adapter, serves.version]
-        answer = await self._ask("POST", "/orders", orjson.dumps(body), may_give)
-        if isinstance(answer, Unreachable):
-            return OrderOutcome.NOT_SENT if answer.refused else OrderOutcome.UNSURE
-        if answer.status == _OLD_EPOCH:
+        reply = await self._call("POST", "/orders", orjson.dumps(body), may_send)
+        if isinstance(reply, Unreachable):
+            return OrderOutcome.NOT_SENT if reply.refused else OrderOutcome.UNSURE
+        if reply.status == _OLD_EPOCH:
             return OrderOutcome.OLD_EPOCH
         return (
             OrderOutcome.OBEYED
-            if answer.status == HTTPStatus.OK
+            if reply.status == HTTPStatus.OK
             else OrderOutcome.UNSURE
         )
 
-    async def _ask(
+    async def _call(
         self,
         method: str,
         path: str,
@@ -262,8 +267,8 @@
         return f"http://{self.address}{path}".encode()
 
 
-def _chunks(order: GenerationOrder) -> list[bytes]:
-    """The envelope around the caller's request, which is not copied."""
+def _run_body(order: GenerationOrder) -> list[bytes]:
+    """The request that starts a run: JSON around the caller's request body."""
     envelope = {
         "for": order.label,
         "model": order.serves.model,
@@ -287,6 +292,6 @@
         running=int(raw["running"]),
         queued=int(raw["queued"]),
         slots=int(raw["slots"]),
-        serves=tuple(ModelName(*each) for each in raw["models"]),
+        serves=tuple(ModelName(*name) for name in raw["models"]),
         role=str(raw.get("role", "")),
     )
--- a/src/coursekeel/endpoints/_orders.py
+++ b/src/coursekeel/endpoints/_orders.py
@@ -1,9 +1,9 @@
-"""Orders to endpoints, given under a lease and corrected until they stand.
+"""Orders that bring endpoints to the configuration, sent under a group's lease.
 
-Orders are absolute and idempotent ("serve exactly this"), so that one repeated or
-overtaken does no harm that the next reading doesn't mend. The epoch of the lease goes
-with each order; endpoints that check it refuse a former holder. For those that don't,
-an order is sent only while the lease surely outlives it.
+Orders are absolute and idempotent, so that a repeated or reordered one is corrected
+after the next status. Each carries the epoch of the lease; endpoints that check it
+refuse a former holder's. To those that don't, an order is sent only while the lease
+surely outlasts it.
 """
 
 from enum import Enum
@@ -22,7 +22,7 @@
 
 
 class OrderKind(Enum):
-    """What an order asks for."""
+    """What an order changes: the loaded model, or the role."""
 
     LOAD = "load"
     ROLE = "role"
@@ -32,7 +32,8 @@
 class Order:
     """One absolute order for one endpoint.
 
-    ``checks_epochs`` says that the endpoint itself refuses a former holder's orders.
+    ``serves`` is the model of a load, ``role`` that of a change of role. If
+    ``checks_epochs``, the endpoint itself refuses a former lease holder's orders.
     """
 
     endpoint_id: str
@@ -45,7 +46,7 @@
 
 @frozen
 class EndpointFacts:
-    """What an endpoint says that it serves, as last read."""
+    """What an endpoint serves and how many requests it has, by its latest status."""
 
     serves: tuple[ModelName, ...]
     role: str
@@ -55,50 +56,57 @@
 def orders_due(
     configuration: Configuration, facts: dict[str, EndpointFacts]
 ) -> list[Order]:
-    """The orders that would bring the endpoints to the configuration.
+    """The orders that bring the endpoints to the configuration.
 
-    An endpoint that still runs requests is left alone: a load or a change of role
-    would cut them, and new work no longer goes to it for a model it isn't to serve.
+    ``facts`` are by endpoint. An endpoint that still has requests gets no order: a load
+    or a change of role would cut them, and it gets no new work for a model that it
+    isn't to serve.
     """
     intent = configuration.intent
-    names = {each.name: each.serves for each in intent.models}
+    models = {model.name: model.serves for model in intent.models}
     due: list[Order] = []
-    for wanted in intent.endpoints:
-        seen = facts.get(wanted.endpoint_id)
-        if wanted.kind is not EndpointKind.ENGINE or seen is None or seen.running:
+    for endpoint in intent.endpoints:
+        current = facts.get(endpoint.endpoint_id)
+        if (
+            endpoint.kind is not EndpointKind.ENGINE
+            or current is None
+            or current.running
+        ):
             continue
         missing = [
-            names[each] for each in wanted.models if names[each] not in seen.serves
+            models[name]
+            for name in endpoint.models
+            if models[name] not in current.serves
         ]
-        due += [_order(wanted, OrderKind.LOAD, serves=each) for each in missing]
-        if seen.role != wanted.role:
-            due.append(_order(wanted, OrderKind.ROLE, role=wanted.role))
+        due += [_order(endpoint, OrderKind.LOAD, serves=model) for model in missing]
+        if current.role != endpoint.role:
+            due.append(_order(endpoint, OrderKind.ROLE, role=endpoint.role))
     return due
 
 
 def _order(
-    wanted: EndpointIntent,
+    endpoint: EndpointIntent,
     kind: OrderKind,
     serves: ModelName | None = None,
     role: str = "",
 ) -> Order:
     return Order(
-        wanted.endpoint_id, kind, wanted.group, wanted.checks_epochs, serves, role
+        endpoint.endpoint_id, kind, endpoint.group, endpoint.checks_epochs, serves, role
     )
 
 
 @define
 class LoadPacer:
-    """Spaces loads so that the weight store's rate is kept; others pass freely."""
+    """Limits the rate of loads, which read the weight store; other orders pass."""
 
     loads_per_minute: int
     _sent_ms: list[float] = field(factory=list)
 
     def may_send(self, order: Order, now_ms: float) -> bool:
-        """Take one load's place in the rate, if there is one."""
+        """Whether the order may be sent now; a load that may is counted as sent."""
         if order.kind is not OrderKind.LOAD:
             return True
-        self._sent_ms = [at for at in self._sent_ms if now_ms - at < MS_PER_MINUTE]
+        self._sent_ms = [ms for ms in self._sent_ms if now_ms - ms < MS_PER_MINUTE]
         if len(self._sent_ms) >= self.loads_per_minute:
             return False
         self._sent_ms.append(now_ms)
