--- a/src/coursekeel/storage/__init__.py
+++ b/src/coursekeel/storage/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's table, objects and instance list: interfaces and their clients."""
+"""The platform's table, object store and instance list: interface and client."""
 
 from coursekeel.storage._batcher import Batcher
 from coursekeel.storage._http import HttpPlatform, StoreCounters
--- a/src/coursekeel/storage/_batcher.py
+++ b/src/coursekeel/storage/_batcher.py
@@ -1,7 +1,7 @@
-"""Join small table writes of a few milliseconds into one transaction.
+"""Batch small table transactions into one.
 
-The table takes some hundred transactions a second; claims and answer rows would each
-cost one. A batch that meets a conflict is sent again without the writes in conflict.
+The table takes some hundred transactions per second, and claims and answer rows would
+each cost one. A batch with a conflict is sent again without the conflicting ones.
 """
 
 from typing import Any
@@ -19,65 +19,75 @@
 
 __all__ = ["Batcher"]
 
-# Transactions put together into one call.
-_MOST_IN_A_BATCH = 64
+_MAX_BATCH_TRANSACTIONS = 64
 
 
 @define(eq=False)
-class _Waiting:
+class _PendingTransaction:
     transaction: Transaction
     result: Deferred[TransactOutcome] = field(factory=Deferred)
 
 
 @define(eq=False)
 class Batcher:
-    """Writes transactions in batches of ``batch_ms``; each gets its own outcome."""
+    """Collects transactions for ``batch_ms`` and writes them as one.
+
+    Each transaction gets its own outcome.
+    """
 
     platform: Platform
     reactor: Reactor
     batch_ms: float
-    _waiting: list[_Waiting] = field(factory=list)
+    _pending: list[_PendingTransaction] = field(factory=list)
     _timer: Any = None
 
     def transact(self, transaction: Transaction) -> Deferred[TransactOutcome]:
-        """Write with the next batch; a batch never holds one key twice."""
-        if self._clashes(transaction) or len(self._waiting) >= _MOST_IN_A_BATCH:
+        """Write with the next batch; the result is this transaction's own outcome."""
+        if (
+            self._conflicts(transaction)
+            or len(self._pending) >= _MAX_BATCH_TRANSACTIONS
+        ):
             self._send()
-        waiting = _Waiting(transaction)
-        self._waiting.append(waiting)
+        pending = _PendingTransaction(transaction)
+        self._pending.append(pending)
         if self._timer is None:
             self._timer = self.reactor.callLater(self.batch_ms / 1000, self._send)
-        return waiting.result
+        return pending.result
+
+    def _conflicts(self, transaction: Transaction) -> bool:
+        """Whether one of the batch writes a key that the other writes or expects.
 
-    def _clashes(self, transaction: Transaction) -> bool:
-        """Two may expect the same row; neither may write what the other looks at."""
+        Two that only expect the same row don't conflict.
+        """
         return any(
-            transaction.writes.keys() & _keys(each.transaction)
-            or _keys(transaction) & each.transaction.writes.keys()
-            for each in self._waiting
+            transaction.writes.keys() & _keys(pending.transaction)
+            or _keys(transaction) & pending.transaction.writes.keys()
+            for pending in self._pending
         )
 
     def _send(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
-        batch, self._waiting = self._waiting, []
+        batch, self._pending = self._pending, []
         if batch:
             ensureDeferred(self._write(batch))
 
-    async def _write(self, batch: list[_Waiting]) -> None:
+    async def _write(self, batch: list[_PendingTransaction]) -> None:
         outcome = await self.platform.transact(_joined(batch))
         if not isinstance(outcome, Conflict):
-            for each in batch:
-                each.result.callback(outcome)
+            for pending in batch:
+                pending.result.callback(outcome)
             return
-        wrong = [
-            each for each in batch if outcome.rows.keys() & _keys(each.transaction)
+        conflicting = [
+            pending
+            for pending in batch
+            if outcome.rows.keys() & _keys(pending.transaction)
         ]
-        rest = [each for each in batch if each not in wrong]
-        for each in wrong:
-            each.result.callback(outcome)
-        if rest and wrong:
+        rest = [pending for pending in batch if pending not in conflicting]
+        for pending in conflicting:
+            pending.result.callback(outcome)
+        if rest and conflicting:
             await self._write(rest)
 
 
@@ -85,10 +95,10 @@
     return transaction.expected.keys() | transaction.writes.keys()
 
 
-def _joined(batch: list[_Waiting]) -> Transaction:
+def _joined(batch: list[_PendingTransaction]) -> Transaction:
     expected: dict[str, int] = {}
     writes: dict[str, dict[str, Any] | None] = {}
-    for each in batch:
-        expected |= each.transaction.expected
-        writes |= each.transaction.writes
+    for pending in batch:
+        expected |= pending.transaction.expected
+        writes |= pending.transaction.writes
     return Transaction(expected, writes)
--- a/src/coursekeel/storage/_interface.py
+++ b/src/coursekeel/storage/_interface.py
@@ -1,8 +1,8 @@
-"""What coursekeel asks of the platform, and the outcomes it has to live with.
+"""The interface to the platform's services, and the outcomes of its operations.
 
-Every operation returns a value that says what is known. ``Unavailable`` means that
-the operation surely had no effect; ``Unsure`` that it may have had one, so the caller
-must read back before acting on either belief.
+Every operation returns its outcome as a value. After ``Unavailable`` it surely had no
+effect; after ``Unsure`` it may have had one, so the caller must read back before it
+relies on either.
 """
 
 from abc import ABC, abstractmethod
@@ -28,7 +28,7 @@
 
 @frozen
 class Row:
-    """One table row; ``version`` grows with each write to the key."""
+    """One table row; ``version`` increases with each write to the key."""
 
     key: str
     version: int
@@ -37,7 +37,7 @@
 
 @frozen
 class Transaction:
-    """Writes that take effect together, if every expected version still stands.
+    """Writes that take effect together if all expected versions match.
 
     ``expected`` maps a key to the version it must have, 0 for an absent row.
     A value of None in ``writes`` deletes the row.
@@ -49,14 +49,17 @@
 
 @frozen
 class Committed:
-    """The write took effect; the new version of each key written."""
+    """The write took effect; ``versions`` holds the new version of each key."""
 
     versions: dict[str, int] = field(factory=dict)
 
 
 @frozen
 class Conflict:
-    """The transaction had no effect: these rows have other versions than expected."""
+    """The transaction had no effect; ``rows`` are those whose version didn't match.
+
+    A row is None if it is absent.
+    """
 
     rows: dict[str, Row | None]
 
@@ -70,14 +73,14 @@
 
 @frozen
 class Unsure:
-    """The operation may have taken effect; its answer was lost."""
+    """The operation may have taken effect; its response was lost."""
 
     reason: str
 
 
 @frozen
 class Rows:
-    """Rows that were read; a key that is absent from the table is absent here."""
+    """Rows by key; a key that is absent from the table is absent here."""
 
     rows: dict[str, Row]
 
@@ -91,7 +94,10 @@
 
 @frozen
 class ListedInstance:
-    """One line of the platform's list; ``kind`` is entry, engine or service."""
+    """One instance of the platform's list.
+
+    ``kind`` is entry, engine or service, ``address`` host and port.
+    """
 
     instance_id: str
     kind: str
@@ -102,7 +108,7 @@
 
 @frozen
 class InstanceList:
-    """The platform's list of instances, which lags the truth by some seconds."""
+    """The platform's list of instances, which lags by some seconds."""
 
     instances: tuple[ListedInstance, ...]
 
@@ -111,7 +117,7 @@
 
 
 class Platform(ABC):
-    """The platform's services, as far as coursekeel uses them."""
+    """The platform's services that coursekeel uses: table, objects, instance list."""
 
     @abstractmethod
     async def transact(self, transaction: Transaction) -> TransactOutcome:
