--- a/src/coursekeel/settings/__init__.py
+++ b/src/coursekeel/settings/__init__.py
@@ -1,4 +1,4 @@
-"""An entry's settings: one checked, frozen value read from JSON with comments."""
+"""Settings of gateways and entries, read from JSON with comments and validated."""
 
 from coursekeel.settings._gateway import (
     CanaryShare,
--- a/src/coursekeel/settings/_gateway.py
+++ b/src/coursekeel/settings/_gateway.py
@@ -1,6 +1,6 @@
-"""The settings of one gateway, as one frozen value.
+"""The settings of a gateway.
 
-Owns the gateway's bounds of time and what follows from them. Deployments set their own.
+Owns the gateway's time limits and the intervals derived from them.
 """
 
 from attrs import field, frozen
@@ -16,42 +16,38 @@
 ]
 
 
-# Shares of `revoke_ms`. A proof is at most a hold old when the store goes, so an
-# instance still acts on keys for 2.9 of 5 s then. With 0.78 and 0.46 it was 1.6 s, and
-# the mean score of a site's days 0.840 in place of 0.902.
+# Shares of `revoke_ms`. When a store outage begins the last confirmation is at most a
+# hold old, so an instance accepts keys for at least the difference of these two.
 _KEY_AGE_SHARE = 0.92
-_HOLD_SHARE = 0.34  # see above
-# More than a hold and its answer, so that an instance in touch with the store can
-# always call a key unknown.
+_HOLD_SHARE = 0.34
+# Share of `revoke_ms`, longer than a hold and its response, so that an instance that
+# reaches the store can always reject an unknown key.
 _UNKNOWN_SHARE = 0.52
-# Of `drain_ms`; the rest is for the store's answer, for the queue here, and for the way
-# there. 450 ms at 2 s: with 800 ms a quiet day had 0.801 to 0.810 in place of 0.838.
+# Share of `drain_ms`; the rest is for the store's response, the local queue and the
+# network.
 _GATHERING_SHARE = 0.225
-# Of `configuration_ms` and `drain_ms`: how long the store holds a question that is
-# asked for others too, and how much later its answer may come. The store may fall
-# silent for the one that asks while the others could reach it; they must notice, and
-# ask elsewhere, well within the bound. With holds of 1.7 and 4 s a change was once in
-# force for them after more than the 2 s allowed
-# (`test_a_holder_that_goes_deaf_keeps_no_change_from_its_zone`).
+# Shares of `configuration_ms` and `drain_ms`: how long the store holds a request that
+# serves other instances too, and how late its response may be. If the store stops
+# responding to the requester alone, the others must notice and query elsewhere well
+# within the limit (`test_a_holder_that_goes_deaf_keeps_no_change_from_its_zone`).
 _SHARED_SHARE = 0.3
-_LATE_SHARE = 0.1  # see above
-# Of `drain_ms`, how long a member of the group may hold a question, and how much later
-# its answer may come. With the gathering they bound how late the news of an endpoint
-# that leaves comes past a member that fell silent: 0.775 of the bound.
+_LATE_SHARE = 0.1
+# Shares of `drain_ms`: how long a member of the group may hold a request, and how late
+# its response may be. Together with the gathering they bound the delay of a change
+# behind a member that stops responding: 0.775 of the limit.
 _MEMBER_HOLD_SHARE = 0.4
-_MEMBER_SLACK_SHARE = 0.15  # see above
-# Of `configuration_ms`, how long a member's answer may take from its head to its end. A
-# whole configuration of 1,469 routes has 24 kB on the way, 40 ms at 5 Mbit/s; from a
-# member whose link is full the store's own, of 411 kB, is sooner here.
+_MEMBER_SLACK_SHARE = 0.15
+# Share of `configuration_ms` for the transfer of a member's response. If the member's
+# link takes longer, the store's response arrives sooner.
 _MEMBER_TRANSFER_SHARE = 0.25
 
 
 @frozen
 class GatewayListen:
-    """Addresses to listen at, each ``host:port``; one left empty is not opened.
+    """Addresses to listen on, each ``host:port``; an empty one is not opened.
 
-    ``peers`` is for the other instances, by TCP and UDP. They are all found at the same
-    port; without it this instance knows none.
+    ``peers`` is for the other instances, over TCP and UDP. All instances must use the
+    same port for it; without it this instance has no peers.
     """
 
     callers: str
@@ -62,19 +58,20 @@
 
 @frozen
 class GatewayTimers:
-    """Bounds of time, each in the unit its name ends with.
-
-    ``revoke_ms`` after a key was taken away no request with it may run, whatever this
-    instance could learn, if ``strict_revoke``. Otherwise only an instance that reaches
-    the store is bound: by ``configuration_ms``, and by up to ``stretch_ms`` more while
-    the store is in trouble. ``grace_s`` is the time from SIGTERM to the end.
-    ``drain_ms`` after the list says that an endpoint leaves nothing new may reach it.
-    After an outage of the store of ``endpoints_lapse_ms`` or more, endpoints whose
-    entries are missing count as gone only ``endpoints_return_ms`` after its return:
-    about two seconds by the users' news. ``silence_ms`` is how long a stream that has
-    begun may be silent before its run counts as lost; ``report_ms`` how long an
-    endpoint has to answer a question for its load, which takes it a few ms even when it
-    is full.
+    """Time limits, each in the unit that its name ends with.
+
+    With ``strict_revoke`` no request runs with a key ``revoke_ms`` after the key was
+    revoked, even without the store. Otherwise only an instance that reaches the store
+    is bound: by ``configuration_ms``, and by up to ``stretch_ms`` more while the store
+    is in trouble.
+
+    ``drain_ms`` after the list shows that an endpoint is leaving, no new work may reach
+    it. After a store outage of ``endpoints_lapse_ms`` or more, missing endpoints count
+    as gone only ``endpoints_return_ms`` after the store's return.
+
+    ``grace_s`` is the time from SIGTERM to exit. ``silence_ms`` is the silence after
+    which a started stream counts as lost, ``report_ms`` the timeout of a request for an
+    endpoint's load.
     """
 
     revoke_ms: float = field(default=5_000, metadata={"least": 100})
@@ -94,16 +91,12 @@
 
     @property
     def max_key_age_ms(self) -> float:
-        """The greatest age of what is known of keys at which one is still acted on.
-
-        With ``strict_revoke`` the rest of ``revoke_ms`` is for the way to the endpoint.
-        Without it an instance that reaches a store in trouble is bound by
-        ``configuration_ms`` and ``stretch_ms`` together, counted from when a caller
-        sent its request, and one that doesn't reach it isn't bound: so what is known is
-        served for that long. 7 s in place of 4.6 s at the usual bounds: in an outage of
-        8 s 0.024 in place of 0.038 of all requests were refused, and a mean worth of
-        0.617 in place of 0.605 (20 days with trouble at a site of 6 instances, four
-        seeds each).
+        """The greatest age of the cached configuration at which keys are accepted.
+
+        With ``strict_revoke`` the rest of ``revoke_ms`` is for sending the request to
+        the endpoint. Without it an instance that reaches the store is bound by
+        ``configuration_ms`` and ``stretch_ms`` together, and one that doesn't is not
+        bound, so the sum is used for both.
         """
         if self.strict_revoke:
             return _KEY_AGE_SHARE * self.revoke_ms
@@ -111,71 +104,79 @@
 
     @property
     def configuration_hold_ms(self) -> float:
-        """How long the store holds a question for changes of the configuration."""
+        """How long the store holds a request that waits for configuration changes."""
         return _HOLD_SHARE * self.revoke_ms
 
     @property
     def max_unknown_age_ms(self) -> float:
-        """The greatest age at which an unknown route or key is called unknown."""
+        """The greatest age of the configuration at which an unknown key is rejected.
+
+        The same holds for unknown routes.
+        """
         return _UNKNOWN_SHARE * self.revoke_ms
 
     @property
     def endpoints_gathering_ms(self) -> float:
-        """How long changes of the list gather before it is asked for again.
+        """How long changes of the endpoint list gather before it is requested again.
 
-        The list changes all the time at a large site, and each instance pays for each
-        call: with 450 ms for any ``drain_ms``, 62 instances spent a tenth of all that
-        their site earned on them.
+        At a large site the list changes all the time, and each request has a cost.
         """
         return _GATHERING_SHARE * self.drain_ms
 
     @property
     def shared_configuration_hold_ms(self) -> float:
-        """The same for whoever asks for others too: they learn no sooner than it."""
+        """The configuration hold of a request that serves other instances too.
+
+        They get a change no sooner than the requester.
+        """
         return min(self.configuration_hold_ms, _SHARED_SHARE * self.configuration_ms)
 
     @property
     def shared_endpoints_hold_ms(self) -> float:
-        """How long the store holds one after the list that is asked for others too."""
+        """The endpoint list's hold of a request that serves other instances too."""
         return min(self.endpoints_hold_ms, _SHARED_SHARE * self.drain_ms)
 
     @property
     def configuration_peace_ms(self) -> float:
-        """How old the proof of whoever asks for others gets while the store answers."""
+        """The greatest age of a shared confirmation while the store responds.
+
+        It is the confirmation of the configuration at the instance that queries the
+        store for others too.
+        """
         return self.shared_configuration_hold_ms + _LATE_SHARE * self.configuration_ms
 
     @property
     def endpoints_peace_ms(self) -> float:
-        """The same for the list, whose changes gather before it is asked for again."""
-        held_ms = self.endpoints_gathering_ms + self.shared_endpoints_hold_ms
-        return held_ms + _LATE_SHARE * self.drain_ms
+        """The same for the endpoint list, whose changes gather between requests."""
+        interval_ms = self.endpoints_gathering_ms + self.shared_endpoints_hold_ms
+        return interval_ms + _LATE_SHARE * self.drain_ms
 
     @property
     def member_hold_ms(self) -> float:
-        """How long a member of the group may hold a question."""
+        """How long a member of the group may hold another instance's request."""
         return _MEMBER_HOLD_SHARE * self.drain_ms
 
     @property
     def member_slack_ms(self) -> float:
-        """How much later than its hold a member's answer may come."""
+        """How much later than its hold a member's response may begin."""
         return _MEMBER_SLACK_SHARE * self.drain_ms
 
     @property
     def member_transfer_ms(self) -> float:
-        """How long a member's answer may take once it has begun."""
+        """How long the transfer of a member's response may take."""
         return _MEMBER_TRANSFER_SHARE * self.configuration_ms
 
     @property
     def grace_ms(self) -> float:
-        """The grace in milliseconds."""
+        """`grace_s` in milliseconds."""
         return self.grace_s * MS_PER_SECOND
 
 
 @frozen
 class RetryShare:
-    """How many repeats a pool bears, over all instances, in ``window_s``.
+    """The retry budget of a pool: retries in ``window_s`` over all instances.
 
-    ``ratio`` is of its requests, ``slack`` a number beside that.
+    It is the share ``ratio`` of the pool's requests, plus ``slack`` retries.
     """
 
     ratio: float = 0.2
@@ -185,10 +186,10 @@
 
 @frozen
 class CanaryShare:
-    """What a version that is tried may get, over all instances.
+    """The requests that a canary version may get, over all instances.
 
-    ``share`` is of its pool's requests, ``slack`` a number beside that. Nothing more
-    may be sent to it ``rollback_ms`` after its fiftieth bad answer.
+    They are the share ``share`` of its pool's requests, plus ``slack`` requests. No
+    request may be sent to it ``rollback_ms`` after its fiftieth bad answer.
     """
 
     share: float = field(default=0.1, metadata={"least": 0, "most": 1})
@@ -198,10 +199,10 @@
 
 @frozen
 class GatewaySettings:
-    """Everything a gateway is told. ``zone`` is its availability zone.
+    """All settings of a gateway. ``zone`` is its availability zone.
 
-    ``seeds`` are addresses of some instances, of which only the host counts; they may
-    be down, or this one's own.
+    ``seeds`` are addresses of some instances, of which only the host is used. They may
+    include instances that are down, and this one.
     """
 
     instance_id: str
--- a/src/coursekeel/settings/_load.py
+++ b/src/coursekeel/settings/_load.py
@@ -1,6 +1,6 @@
-"""Read settings from JSON with comments, and name every fault at once.
+"""Read settings from JSON with comments, and report all faults at once.
 
-Owns no state; relies on `coursekeel.strict` for types and on json5 for the file's form.
+Owns no state; relies on `coursekeel.strict` for types and on json5 for the syntax.
 """
 
 from collections.abc import Mapping
@@ -43,8 +43,8 @@
 _HASH_CHARACTERS = 64  # SHA-256 in hexadecimal
 _MAX_PORT = 65_535  # RFC 9293
 _Settings = TypeVar("_Settings")
-# A converter takes some ms to make, so that each role makes only its own, when it reads
-# its settings. Inner classes come before those that hold them.
+# The settings classes of each role, inner classes first. A converter takes some ms to
+# build, so each process builds only its own role's.
 _CLASSES: dict[type, tuple[type, ...]] = {
     EntrySettings: (
         ListenSettings,
@@ -65,7 +65,7 @@
 
 
 def read_json_with_comments(path: Path) -> Any:
-    """Read a JSON file that may hold comments; raises `SettingsInvalid`."""
+    """Parse a JSON file with comments; raises `SettingsInvalid`."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as failure:
@@ -77,42 +77,47 @@
 
 
 def load_settings(path: Path) -> EntrySettings:
-    """Read an entry's settings; raises `SettingsInvalid` with every fault found."""
+    """Read an entry's settings file; raises `SettingsInvalid` with all faults."""
     return parse_settings(read_json_with_comments(path), str(path))
 
 
 def parse_settings(value: Any, source: str) -> EntrySettings:
-    """Check a settings value; ``source`` names it in faults.
+    """Convert and validate an entry's settings; raises `SettingsInvalid`.
 
-    ``profile`` names a set of timers, whose values stand where ``timers`` gives none.
+    ``source`` names the value in error messages. The key ``profile`` selects defaults
+    for the keys that ``timers`` omits.
     """
     if not isinstance(value, dict):
         raise SettingsInvalid(f"{source}: expected an object, got {value!r:.40}")
     filled, faults = _with_profile(dict(value))
-    # Ranges are looked at in the raw value, so that a wrong type elsewhere doesn't
-    # hide them until the next try.
-    faults += _out_of_range(filled, EntrySettings, "")
+    # Bounds are checked in the raw value, so that a wrong type elsewhere doesn't hide
+    # them.
+    faults += _range_faults(filled, EntrySettings, "")
     faults += _operator_faults(filled)
     return _structured(filled, EntrySettings, faults, source)
 
 
 def load_gateway_settings(path: Path) -> GatewaySettings:
-    """Read a gateway's settings; raises `SettingsInvalid` with every fault found."""
+    """Read a gateway's settings file; raises `SettingsInvalid` with all faults."""
     return parse_gateway_settings(read_json_with_comments(path), str(path))
 
 
 def parse_gateway_settings(value: Any, source: str) -> GatewaySettings:
-    """Check a gateway's settings value; ``source`` names it in faults."""
+    """Convert and validate a gateway's settings; raises `SettingsInvalid`.
+
+    ``source`` names the value in error messages.
+    """
     if not isinstance(value, dict):
         raise SettingsInvalid(f"{source}: expected an object, got {value!r:.40}")
-    faults = _out_of_range(value, GatewaySettings, "")
+    faults = _range_faults(value, GatewaySettings, "")
     faults += _address_faults(value)
     return _structured(value, GatewaySettings, faults, source)
 
 
 def check_settings(path: Path) -> EntrySettings | GatewaySettings:
-    """Read the settings of whichever role the file is for; only a gateway's have
-    ``listen``.
+    """Read a settings file of either role; raises `SettingsInvalid`.
+
+    Only a gateway's file has the key ``listen``.
     """
     value = read_json_with_comments(path)
     if isinstance(value, dict) and "listen" in value:
@@ -126,20 +131,20 @@
     try:
         settings = strict_converter(*_CLASSES[kind]).structure(value, kind)
     except Exception as failure:
-        faults += [_with_unit_hint(each) for each in faults_of(failure)]
+        faults += [_with_unit_hint(fault) for fault in faults_of(failure)]
     if faults:
-        raise SettingsInvalid("\n".join(f"{source}: {each}" for each in faults))
+        raise SettingsInvalid("\n".join(f"{source}: {fault}" for fault in faults))
     return settings
 
 
 def _address_faults(raw: dict[str, Any]) -> list[str]:
     listen = raw.get("listen")
-    given = {"store": raw.get("store")}
+    addresses = {"store": raw.get("store")}
     if isinstance(listen, dict):
-        given |= {f"listen.{name}": text for name, text in listen.items()}
+        addresses |= {f"listen.{name}": text for name, text in listen.items()}
     return [
         f"{name}: got {text!r}, expected an address such as 127.0.0.1:8080"
-        for name, text in given.items()
+        for name, text in addresses.items()
         if isinstance(text, str) and text and not _is_address(text)
     ]
 
@@ -155,8 +160,8 @@
         return value, []
     profile = PROFILES.get(name) if isinstance(name, str) else None
     if profile is None:
-        known = ", ".join(PROFILES)
-        return value, [f"profile: got {name!r}, expected one of: {known}"]
+        names = ", ".join(PROFILES)
+        return value, [f"profile: got {name!r}, expected one of: {names}"]
     timers = value.get("timers", {})
     if isinstance(timers, dict):
         value["timers"] = {**attrs.asdict(profile), **timers}
@@ -164,39 +169,39 @@
 
 
 def _with_unit_hint(fault: str) -> str:
-    """A key that lacks only its unit is a common slip; say which one was meant."""
+    """Add the key with its unit to a fault of a key that lacks only the unit."""
     path, _, text = fault.partition(": ")
     if not text.startswith("unknown key "):
         return fault
-    given = text.removeprefix("unknown key ").partition(";")[0]
-    known = text.rpartition("expected only: ")[2].split(", ")
-    meant = [
+    unknown_keys = text.removeprefix("unknown key ").partition(";")[0]
+    expected_keys = text.rpartition("expected only: ")[2].split(", ")
+    hints = [
         f"{key} has no unit, write {key}{unit}"
-        for key in given.split(", ")
+        for key in unknown_keys.split(", ")
         for unit in _UNITS
-        if f"{key}{unit}" in known
+        if f"{key}{unit}" in expected_keys
     ]
-    return f"{path}: {'; '.join(meant)}; {text}" if meant else fault
+    return f"{path}: {'; '.join(hints)}; {text}" if hints else fault
 
 
-def _out_of_range(raw: dict[str, Any], kind: type, path: str) -> list[str]:
+def _range_faults(raw: dict[str, Any], kind: type, path: str) -> list[str]:
     faults: list[str] = []
-    for each in attrs.fields(kind):
-        given = raw.get(each.name)
-        at = f"{path}.{each.name}".lstrip(".")
-        if attrs.has(each.type) and isinstance(given, dict):
-            faults += _out_of_range(given, each.type, at)
-        if isinstance(given, int | float) and not isinstance(given, bool):
-            faults += _bounds(given, each.metadata, at)
+    for setting in attrs.fields(kind):
+        value = raw.get(setting.name)
+        setting_path = f"{path}.{setting.name}".lstrip(".")
+        if attrs.has(setting.type) and isinstance(value, dict):
+            faults += _range_faults(value, setting.type, setting_path)
+        if isinstance(value, int | float) and not isinstance(value, bool):
+            faults += _bound_faults(value, setting.metadata, setting_path)
     return faults
 
 
-def _bounds(given: float, metadata: Mapping[str, int], at: str) -> list[str]:
+def _bound_faults(value: float, metadata: Mapping[str, int], path: str) -> list[str]:
     least, most = metadata.get("least"), metadata.get("most")
-    if least is not None and given < least:
-        return [f"{at}: got {given}, expected at least {least}"]
-    if most is not None and given > most:
-        return [f"{at}: got {given}, expected at most {most}"]
+    if least is not None and value < least:
+        return [f"{path}: got {value}, expected at least {least}"]
+    if most is not None and value > most:
+        return [f"{path}: got {value}, expected at most {most}"]
     return []
 
 
@@ -207,14 +212,14 @@
     return [
         f"operators[{index}].key_hash: expected the SHA-256 of the key, "
         f"{_HASH_CHARACTERS} hexadecimal digits"
-        for index, each in enumerate(operators)
-        if isinstance(each, dict) and not _is_hash(each.get("key_hash"))
+        for index, operator in enumerate(operators)
+        if isinstance(operator, dict) and not _is_hash(operator.get("key_hash"))
     ]
 
 
-def _is_hash(given: Any) -> bool:
+def _is_hash(value: Any) -> bool:
     return (
-        isinstance(given, str)
-        and len(given) == _HASH_CHARACTERS
-        and set(given) <= set(hexdigits)
+        isinstance(value, str)
+        and len(value) == _HASH_CHARACTERS
+        and set(value) <= set(hexdigits)
     )
--- a/src/coursekeel/settings/_model.py
+++ b/src/coursekeel/settings/_model.py
@@ -1,4 +1,4 @@
-"""The settings of one entry, as one frozen value."""
+"""The settings of an entry."""
 
 from attrs import field, frozen
 
@@ -17,7 +17,7 @@
 
 @frozen
 class ListenSettings:
-    """An address to listen at; port 0 lets the kernel choose."""
+    """An address to listen on; with port 0 the kernel chooses the port."""
 
     host: str = "127.0.0.1"
     port: int = field(default=0, metadata={"least": 0, "most": 65_535})
@@ -25,7 +25,7 @@
 
 @frozen
 class PlatformSettings:
-    """Where the platform's services are."""
+    """The URL of the platform's services, and the timeout of each call."""
 
     base_url: str
     timeout_ms: int = field(default=1_000, metadata={"least": 10, "most": 60_000})
@@ -33,7 +33,10 @@
 
 @frozen
 class OperatorKey:
-    """An operator's bearer key, kept as the SHA-256 of the key in hexadecimal."""
+    """An operator's bearer key, as its SHA-256 in hexadecimal.
+
+    ``may_confirm`` allows the operator to confirm plans.
+    """
 
     name: str
     key_hash: str
@@ -42,7 +45,7 @@
 
 @frozen
 class Timers:
-    """Intervals and limits of time. Each is weighed in docs/design/."""
+    """Intervals and timeouts of an entry; docs/design/ explains them."""
 
     journal_ms: int = field(default=500, metadata={"least": 20, "most": 60_000})
     lease_ms: int = field(default=2_500, metadata={"least": 200, "most": 600_000})
@@ -65,7 +68,7 @@
 
 @frozen
 class Limits:
-    """Bounds that keep one entry within its instance."""
+    """Limits on the memory and work of one entry."""
 
     body_bytes: int = field(default=64 * MEBIBYTE, metadata={"least": 1_024})
     header_bytes: int = field(default=16_384, metadata={"least": 1_024})
@@ -79,11 +82,10 @@
 
 @frozen
 class EntrySettings:
-    """Everything an entry is told. ``zone`` is its availability zone.
+    """All settings of an entry. ``zone`` is its availability zone.
 
-    With ``copies`` each run's memory is kept by a second engine as it grows, so that
-    an answer goes on without reading its prompt again; engines that keep none ignore
-    it.
+    With ``copies`` a second engine keeps a copy of each run's memory, so that an answer
+    resumes without reading its prompt again. Engines that keep no copies ignore it.
     """
 
     instance_id: str
