--- a/tests/common/fake_platform.py
+++ b/tests/common/fake_platform.py
@@ -1,7 +1,7 @@
-"""A platform in memory whose every operation the schedule lets happen, or not.
+"""An in-memory platform whose operations complete or fail as the test schedules.
 
-An operation waits until the schedule picks it. Its effect and its answer are separate:
-a write can take effect at once, later, or never, and its answer can be lost either way.
+An operation waits until the test picks it. Its effect and its response are separate: a
+write takes effect at once, later or never, and its response may be lost in each case.
 """
 
 from attrs import define, field
@@ -23,7 +23,7 @@
 
 @define(eq=False)
 class Operation:
-    """One operation under way."""
+    """One pending operation; ``argument`` is its keys or transaction."""
 
     kind: str
     argument: object
@@ -31,7 +31,7 @@
 
 
 class FakePlatform(Platform):
-    """Rows and versions, and the operations that wait to happen."""
+    """A platform with rows, pending operations (``waiting``) and delayed writes."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -40,25 +40,25 @@
         self.late: list[Transaction] = []
 
     def apply(self, transaction: Transaction) -> Committed | Conflict:
-        wrong = {
+        mismatched = {
             key: self.rows.get(key)
             for key, version in transaction.expected.items()
             if (self.rows[key].version if key in self.rows else 0) != version
         }
-        if wrong:
-            return Conflict(wrong)
-        written = {}
+        if mismatched:
+            return Conflict(mismatched)
+        versions = {}
         for key, value in transaction.writes.items():
             self.versions += 1
-            written[key] = self.versions
+            versions[key] = self.versions
             if value is None:
                 self.rows.pop(key, None)
             else:
                 self.rows[key] = Row(key, self.versions, value)
-        return Committed(written)
+        return Committed(versions)
 
     def step(self, index: int, how: str) -> None:
-        """Let one waiting operation go: well, or in one of the bad ways."""
+        """Complete one pending operation with the outcome ``how``, one of `WAYS`."""
         operation = self.waiting.pop(index % len(self.waiting))
         operation.answer.callback(self._outcome(operation, how))
 
@@ -80,12 +80,12 @@
         return self.apply(transaction)
 
     def late_effect(self) -> None:
-        """A write that was given up on takes effect after all."""
+        """Apply the oldest delayed write, whose response was already lost."""
         if self.late:
             self.apply(self.late.pop(0))
 
     def drain(self) -> None:
-        """Let everything that waits go well."""
+        """Complete all pending operations successfully."""
         for _ in range(1_000):
             if not self.waiting:
                 return
--- a/tests/cover/test_endpoints.py
+++ b/tests/cover/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Evidence for new work, silence, leases and being cut off."""
+"""Evidence for new work, silence detection, leases and isolation."""
 
 import pytest
 from hypothesis import strategies as st
@@ -20,7 +20,7 @@
 
 
 class EvidenceMachine(RuleBasedStateMachine):
-    """Words about one endpoint arrive late, in any order, from anyone."""
+    """Reports about one endpoint arrive late, in any order and from any source."""
 
     book_class: type = EvidenceBook
 
@@ -28,57 +28,57 @@
         super().__init__()
         self.book = self.book_class(FRESH_MS)
         self.now_ms = 0.0
-        self.left: set[str] = set()
-        self.replaced: set[str] = set()
+        self.left_incarnations: set[str] = set()
+        self.replaced_incarnations: set[str] = set()
         self.current = ""
         self.seen_ms = float("-inf")
         self.listed_leaving = False
 
     @rule(incarnation=INCARNATIONS, leaving=st.booleans(), age_ms=st.floats(0, 3_000))
-    def own_word(self, incarnation, leaving, age_ms):
-        taken = self.book.saw("e", incarnation, leaving, self.now_ms - age_ms)
+    def receive_status(self, incarnation, leaving, age_ms):
+        accepted = self.book.saw("e", incarnation, leaving, self.now_ms - age_ms)
         if self.book_class is EvidenceBook:
-            assert taken == (incarnation not in self.replaced)
-        if incarnation in self.replaced:
+            assert accepted == (incarnation not in self.replaced_incarnations)
+        if incarnation in self.replaced_incarnations:
             return
         if self.current not in ("", incarnation):
-            self.replaced.add(self.current)
+            self.replaced_incarnations.add(self.current)
         self.current = incarnation
         self.seen_ms = max(self.seen_ms, self.now_ms - age_ms)
         if leaving or self.listed_leaving:
-            self.left.add(incarnation)
+            self.left_incarnations.add(incarnation)
 
     @rule(leaving=st.booleans())
-    def list_is_read(self, leaving):
+    def read_list(self, leaving):
         self.book.listed("e", leaving)
         self.listed_leaving = leaving
         if leaving and self.current:
-            self.left.add(self.current)
+            self.left_incarnations.add(self.current)
 
     @rule(incarnation=INCARNATIONS)
-    def peer_hints(self, incarnation):
+    def receive_leaving_mark(self, incarnation):
         self.book.hinted(LeavingMark("e", incarnation))
-        self.left.add(incarnation)
+        self.left_incarnations.add(incarnation)
 
     @rule()
-    def refuses_connections(self):
+    def refuse_connection(self):
         self.book.lost("e")
         self.seen_ms = float("-inf")
 
     @rule(ms=st.floats(0, 2_000))
-    def time_passes(self, ms):
+    def advance_time(self, ms):
         self.now_ms += ms
 
     @invariant()
-    def new_work_needs_fresh_evidence_of_not_leaving(self):
+    def new_work_requires_fresh_evidence(self):
         if self.book.may_take_new_work("e", self.now_ms):
-            assert self.current not in self.left
+            assert self.current not in self.left_incarnations
             assert not self.listed_leaving
             assert self.now_ms - self.seen_ms <= FRESH_MS
 
 
-class NaiveBook:
-    """Believes whatever was said last, by whomever and however long ago."""
+class LatestReportBook:
+    """Follows the latest report, of any source and age."""
 
     def __init__(self, fresh_ms):
         self.serving = False
@@ -100,20 +100,20 @@
         return self.serving
 
 
-class NaiveEvidenceMachine(EvidenceMachine):
-    book_class = NaiveBook
+class LatestReportMachine(EvidenceMachine):
+    book_class = LatestReportBook
 
 
-def test_the_naive_version_gives_a_leaving_endpoint_new_work():
+def test_an_evidence_book_without_rules_gives_a_leaving_endpoint_new_work():
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(NaiveEvidenceMachine, settings=until_broken())
+        run_state_machine_as_test(LatestReportMachine, settings=until_broken())
 
 
-def test_a_leaving_endpoint_gets_no_new_work_whatever_arrives_late():
+def test_a_leaving_endpoint_gets_no_new_work_despite_late_reports():
     run_state_machine_as_test(EvidenceMachine, settings=schedules(300))
 
 
-def watched(endpoints, until_ms=1_000.0):
+def run_active_streams(endpoints, until_ms=1_000.0):
     silence = SilenceWatch()
     for name in endpoints:
         silence.opened(name, 0.0)
@@ -126,30 +126,30 @@
     return silence, now_ms
 
 
-def reviews(silence, now_ms, for_ms, heard=()):
-    found = []
+def collect_silent(silence, now_ms, for_ms, active=()):
+    silent = []
     end_ms = now_ms + for_ms
     while now_ms < end_ms:
         now_ms += 20.0
-        for name in heard:
+        for name in active:
             silence.heard(name, now_ms)
-        found += silence.review(now_ms, now_ms + 20.0)
-    return found
+        silent += silence.review(now_ms, now_ms + 20.0)
+    return silent
 
 
-def test_one_silent_endpoint_is_named_once():
-    silence, now_ms = watched("abcdef")
-    assert reviews(silence, now_ms, 2_000, heard="bcdef") == ["a"]
+def test_a_silent_endpoint_is_reported_once():
+    silence, now_ms = run_active_streams("abcdef")
+    assert collect_silent(silence, now_ms, 2_000, active="bcdef") == ["a"]
 
 
-def test_a_fleet_that_slows_down_is_not_taken_for_dead():
-    silence, now_ms = watched("abcdef")
-    assert reviews(silence, now_ms, 2_000, heard="f") == []
+def test_a_slow_down_of_most_endpoints_reports_none():
+    silence, now_ms = run_active_streams("abcdef")
+    assert collect_silent(silence, now_ms, 2_000, active="f") == []
     assert silence.slow_downs > 0
 
 
-def test_our_own_pause_judges_nobody():
-    silence, now_ms = watched("abcdef")
+def test_a_late_review_reports_no_endpoint():
+    silence, now_ms = run_active_streams("abcdef")
     assert silence.review(now_ms + 5_000, now_ms + 5_020) == []
 
 
@@ -157,7 +157,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Two instances, one lease, a table that loses answers; each may be paused."""
+    """Two instances that may pause, one lease, and a table that loses responses."""
 
     lease_class: type = GroupLease
 
@@ -169,7 +169,7 @@
         self.watches = [LapseWatch(TERMS, 100.0) for _ in "ab"]
 
     @rule(index=st.integers(0, 1), lost=st.booleans())
-    def works(self, index, lost):
+    def run_one(self, index, lost):
         lease, watch = self.leases[index], self.watches[index]
         row: Row | None = self.platform.rows.get("lease")
         if lease.state == "held":
@@ -187,63 +187,63 @@
             assert lease.state == "held"
 
     @rule(index=st.integers(0, 1), rounds=st.integers(1, 20))
-    def works_while_the_other_is_paused(self, index, rounds):
-        """Long enough for the other's lease to lapse, which single steps never were."""
+    def run_while_the_other_is_paused(self, index, rounds):
+        """Run long enough for the other's lease to lapse, which single steps don't."""
         for _ in range(rounds):
             self.now_ms += 90
-            self.works(index, lost=False)
+            self.run_one(index, lost=False)
 
     @rule(index=st.integers(0, 1))
-    def hands_back(self, index):
+    def hand_back(self, index):
         lease = self.leases[index]
         if lease.state == "held":
             self.platform.apply(lease.hand_back())
 
     @rule(ms=st.floats(1, 90))
-    def time_passes(self, ms):
+    def advance_time(self, ms):
         self.now_ms += ms
 
     @rule()
-    def a_pause(self):
+    def pause_all(self):
         self.now_ms += 5_000
 
     @invariant()
-    def at_most_one_is_sure_of_it(self):
-        sure = [each for each in self.leases if each.surely_held(self.now_ms)]
-        assert len(sure) <= 1
-        epochs = [each.epoch for each in sure]
-        if sure:
+    def at_most_one_surely_holds_the_lease(self):
+        held = [lease for lease in self.leases if lease.surely_held(self.now_ms)]
+        assert len(held) <= 1
+        epochs = [lease.epoch for lease in held]
+        if held:
             assert epochs[0] == self.platform.rows["lease"].value["epoch"]
 
 
-class NaiveLease(GroupLease):
-    """Holds the lease until somebody says otherwise."""
+class NonExpiringLease(GroupLease):
+    """Holds the lease without expiry."""
 
     def surely_held(self, now_ms, need_ms=0.0):
         return self.state == "held"
 
 
-class NaiveLeaseMachine(LeaseMachine):
-    lease_class = NaiveLease
+class NonExpiringLeaseMachine(LeaseMachine):
+    lease_class = NonExpiringLease
 
 
-def test_the_naive_version_has_two_holders_at_once():
+def test_a_lease_without_expiry_has_two_holders_at_once():
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(NaiveLeaseMachine, settings=until_broken(60))
+        run_state_machine_as_test(NonExpiringLeaseMachine, settings=until_broken(60))
 
 
-def test_two_holders_are_never_both_sure():
+def test_at_most_one_instance_surely_holds_the_lease():
     run_state_machine_as_test(LeaseMachine, settings=schedules(300, steps=60))
 
 
-def test_an_outage_makes_no_lease_look_lapsed():
+def test_a_store_outage_does_not_make_a_lease_lapse():
     watch = LapseWatch(TERMS, step_ms=100.0)
     watch.saw("lease", 1, 0.0)
     watch.saw("lease", 1, 60_000.0)
     assert not watch.lapsed("lease")
 
 
-def test_an_instance_that_was_paused_is_isolated_until_it_reaches_somebody():
+def test_a_paused_instance_is_isolated_until_it_reaches_another():
     isolation = Isolation(limit_ms=500)
     assert isolation.isolated(0.0)
     isolation.reached(0.0)
--- a/tests/cover/test_golden_forms.py
+++ b/tests/cover/test_golden_forms.py
@@ -1,9 +1,7 @@
-"""Stored rows, objects, messages and settings keep their form.
+"""Stored rows, objects, messages and settings keep their serialized form.
 
-`tests/golden/forms.json` was written by the code before its names were reworked.
-Every row and object that lies in a store and every message between processes must come
-out the same, and what was written then must be read today. A form
-that changes on purpose is written anew by `python -m tests.cover.test_golden_forms`.
+`tests/golden/forms.json` holds the expected forms; those of an older version must stay
+readable. After an intended change `python -m tests.cover.test_golden_forms` writes it.
 """
 
 from base64 import b64encode
@@ -152,7 +150,7 @@
 
 
 def _suspects() -> dict[str, str]:
-    """A barred request as it is stored, and as members tell each other of it."""
+    """A barred request, as it is stored and as members send it to each other."""
     record = SuspectRecord("f" * 24, 1, 2, 500.0)
     for number, sign in enumerate(Sign):
         record = record.struck(Strike.of(f"e{number}", sign, 600.0 + number))
@@ -165,18 +163,20 @@
 
 
 def _settings() -> dict[str, Any]:
-    found = {
+    forms_by_file = {
         file.name: attrs.asdict(parse_settings(read_json_with_comments(file), "f"))
         for file in sorted((ROOT / "examples").glob("*.json"))
         if "intent" not in file.name
     }
-    return found | {"gateway": attrs.asdict(parse_gateway_settings(GATEWAY, "f"))}
+    return forms_by_file | {
+        "gateway": attrs.asdict(parse_gateway_settings(GATEWAY, "f"))
+    }
 
 
 def forms() -> dict[str, Any]:
-    """Every form, as JSON."""
+    """All forms by name, as JSON values."""
     settled = CLAIM.settled(RunState.RAN, ServiceReply(200, "text/plain", b"ok"))
-    made = {
+    values = {
         "answer row": {"key": RECORD.key, "index": RECORD.index_key} | RECORD.to_row(),
         "answer keys": [answer_key("t", "r"), owned_key("o", 3)],
         "claim rows": [CLAIM.to_row(), settled.to_row()],
@@ -193,7 +193,7 @@
         "settings": _settings(),
         "suspects": _suspects(),
     }
-    return orjson.loads(orjson.dumps(made, default=str))
+    return orjson.loads(orjson.dumps(values, default=str))
 
 
 @pytest.fixture(scope="module")
@@ -202,15 +202,15 @@
 
 
 @pytest.mark.parametrize("name", sorted(orjson.loads(GOLDEN.read_bytes())))
-def test_a_form_is_the_same_as_before(name, golden):
+def test_each_form_is_unchanged(name, golden):
     assert forms()[name] == golden[name]
 
 
-def test_no_form_is_left_out(golden):
+def test_the_golden_file_covers_all_forms(golden):
     assert set(forms()) == set(golden)
 
 
-def test_what_was_stored_before_is_read(golden):
+def test_stored_forms_are_read_back(golden):
     from base64 import b64decode
 
     row = dict(golden["answer row"])
--- a/tests/cover/test_settings.py
+++ b/tests/cover/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and intents: every fault at once, with path and what was expected."""
+"""Settings and intents: all faults at once, with their path and the expected value."""
 
 from pathlib import Path
 
@@ -9,11 +9,15 @@
 from coursekeel.settings import load_settings, parse_settings, read_json_with_comments
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
-LEAST = {"instance_id": "i", "zone": "z", "platform": {"base_url": "http://h"}}
+MINIMAL_SETTINGS = {
+    "instance_id": "i",
+    "zone": "z",
+    "platform": {"base_url": "http://h"},
+}
 
 
 @pytest.mark.parametrize("name", ["head-office", "inspection"])
-def test_the_sample_settings_and_intents_are_good(name):
+def test_the_example_settings_and_intents_are_valid(name):
     settings = load_settings(EXAMPLES / f"{name}.json")
     assert settings.zone
     raw = read_json_with_comments(EXAMPLES / f"{name}-intent.json")
@@ -22,9 +26,9 @@
     assert intent_from_json(intent_to_json(intent)) == intent
 
 
-def test_every_fault_is_named_at_once():
+def test_all_faults_are_reported_at_once():
     value = {
-        **LEAST,
+        **MINIMAL_SETTINGS,
         "instance_id": 5,
         "timers": {"lease_ms": "3", "journal": 5},
         "limits": {"open_streams": 0},
@@ -45,15 +49,16 @@
         assert part in text, text
 
 
-def test_profiles_fill_what_is_not_given():
+def test_a_profile_provides_the_omitted_timers():
     settings = parse_settings(
-        {**LEAST, "profile": "inspection", "timers": {"lease_ms": 9_000}}, "f"
+        {**MINIMAL_SETTINGS, "profile": "inspection", "timers": {"lease_ms": 9_000}},
+        "f",
     )
     assert settings.timers.lease_ms == 9_000
     assert settings.timers.silence_floor_ms == 2_000
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path):
+def test_an_unreadable_or_malformed_file_is_reported(tmp_path):
     with pytest.raises(SettingsInvalid, match="can't be read"):
         load_settings(tmp_path / "none.json")
     broken = tmp_path / "broken.json"
@@ -62,7 +67,7 @@
         load_settings(broken)
 
 
-def test_settings_can_be_pasted_back():
+def test_the_repr_of_settings_evaluates_to_them():
     from coursekeel.settings import (  # noqa: F401 - eval needs the names
         EntrySettings,
         Limits,
@@ -71,11 +76,11 @@
         Timers,
     )
 
-    settings = parse_settings(LEAST, "f")
+    settings = parse_settings(MINIMAL_SETTINGS, "f")
     assert eval(repr(settings)) == settings
 
 
-def test_intent_faults_carry_their_paths():
+def test_intent_faults_are_reported_with_their_paths():
     with pytest.raises(RequestInvalid) as caught:
         intent_from_json(
             {"models": [{"name": 1}], "endpoints": [{"kind": "x"}], "teams": [{}]}
