--- a/src/coursekeel/routing/__init__.py
+++ b/src/coursekeel/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which request goes where: scoring, limits, fair queues, budgets and refusals."""
+"""Request placement: scores, concurrency limits, fair queues, retry budgets."""
 
 from coursekeel.routing._budget import RetryBudget
 from coursekeel.routing._limits import ConcurrencyLimit
--- a/src/coursekeel/routing/_budget.py
+++ b/src/coursekeel/routing/_budget.py
@@ -1,30 +1,28 @@
-"""Retry: a budget that keeps repeats a bounded share of the work.
+"""Retry budget of one request class.
 
-Rule: a repeat is allowed while the budget holds one. Successes earn a part of a repeat
-each; a reserve comes back slowly by itself, so that a class with little traffic can
-still recover. Reason: when endpoints fail, repeats without a bound multiply the load of
-those that work.
+Rule: a retry is allowed while the budget holds at least one. Each success earns a part
+of a retry; a small reserve refills with time, so that a class with little traffic can
+still retry. Reason: when endpoints fail, unbounded retries multiply the load on those
+that still work.
 
-A core: the time is given, in ms.
+A core: the caller passes the time, in ms.
 """
 
 from attrs import define
 
 __all__ = ["RetryBudget"]
 
-# Without a bound of its own a budget holds what so many successes earn. A hundred
-# requests are a second or two of one instance's traffic.
+# The default cap is what this many successes earn.
 _SAVED_SUCCESSES = 100
 
 
 @define
 class RetryBudget:
-    """``retries`` are left now.
+    """``retries`` are available now.
 
-    ``per_success`` is how many one success earns, and ``most`` how many can be saved
-    up; without it, those of a hundred successes. The reserve of 10 and its refill of 5
-    a second let an idle class resume a few streams at once
-    (`tests/cover/test_slowdown_machine.py` keeps the bound that follows).
+    ``per_success`` is the part of a retry that one success earns. ``most`` caps what
+    can be saved up; by default, the earnings of ``_SAVED_SUCCESSES``. ``refill_per_s``
+    refills up to ``reserve``, so that an idle class can resume a few streams at once.
     """
 
     per_success: float
@@ -32,14 +30,14 @@
     refill_per_s: float = 5.0
     retries: float = 10.0
     most: float | None = None
-    _at_ms: float | None = None
+    _refilled_ms: float | None = None
 
     def succeeded(self) -> None:
-        """A request arrived, or a run gave its first token."""
+        """Earn a part of a retry: a run gave its first token, or a call its answer."""
         self.retries = min(self.retries + self.per_success, self._cap)
 
     def take(self, now_ms: float) -> bool:
-        """Take one retry if the budget has it."""
+        """Spend one retry; return False if less than one is available."""
         self._refill(now_ms)
         if self.retries < 1:
             return False
@@ -53,8 +51,8 @@
         return max(self.reserve, _SAVED_SUCCESSES * self.per_success)
 
     def _refill(self, now_ms: float) -> None:
-        since_ms = 0.0 if self._at_ms is None else now_ms - self._at_ms
-        self._at_ms = now_ms
+        elapsed_ms = 0.0 if self._refilled_ms is None else now_ms - self._refilled_ms
+        self._refilled_ms = now_ms
         if self.retries < self.reserve:
-            gained = since_ms / 1000 * self.refill_per_s
+            gained = elapsed_ms / 1000 * self.refill_per_s
             self.retries = min(self.retries + gained, self.reserve)
--- a/src/coursekeel/routing/_forecast.py
+++ b/src/coursekeel/routing/_forecast.py
@@ -1,14 +1,11 @@
-"""Refuse: is it sure enough that a request can't be served in its time?
+"""Refusal of requests that can't be served before their deadline.
 
-Rule: a request is refused when it comes if no endpoint is known for its pool, if too
-many wait already, or if its queue moves so slowly that it would wait for most of its
-time; and while it waits, once its time is over. `Retry-After` is the wait that is
-expected, spread by lot so that not all come at once. Reason: a caller that is refused
-at once can go elsewhere, one that waits in vain can't.
+Rule: a new request is refused if its pool has no endpoint, if too many wait already, or
+if its predicted wait takes most of its time; a waiting request is refused at its
+deadline. `Retry-After` is the predicted wait with random jitter, so that callers don't
+return all at once. Reason: a caller that is refused early can go elsewhere.
 
-Owns how fast each pool's queue moves. A core: each moment is given, in ms. Measured
-(docs/bench-summary.md, `python -m bench.policy`): with a rate averaged over each
-grant's own speed, refusals came only at the deadline.
+Owns how fast each pool's queue is served. A core: the caller passes the time, in ms.
 """
 
 import math
@@ -20,19 +17,19 @@
 from coursekeel.routing._queue import FairQueue
 from coursekeel.routing._rate import QueueRate
 
-__all__ = ["Forecast", "RefusalTerms"]
+__all__ = ["AdmissionControl", "RefusalLimits"]
 
-# How much of a request's time its wait may take and still leave it hope: the forecast
-# errs by a fifth or so, and the request must be sent and answered as well.
-_HOPEFUL_SHARE = 0.8
+# Share of a request's remaining time that its wait may take. The rest is for sending
+# and answering it, and for the error of the prediction.
+_MAX_WAIT_SHARE = 0.8
 
-# The time to come back is up to so much longer, by lot.
-_SPREAD_SHARE = 0.25
+# `Retry-After` is lengthened by a random share up to this one.
+_JITTER_SHARE = 0.25
 
 
 @frozen
-class RefusalTerms:
-    """Bounds on what waits (`queue_limit`, requests a queue) and on `Retry-After`."""
+class RefusalLimits:
+    """Bounds on the requests waiting in one queue and on `Retry-After`."""
 
     queue_limit: int
     retry_after_least_ms: float
@@ -40,29 +37,32 @@
 
 
 @define(eq=False)
-class Forecast:
-    """Judges waiting requests; ``refused`` counts those that were turned away."""
+class AdmissionControl:
+    """Decides for `Router` which requests to refuse; ``refused`` counts them."""
 
     random: Random
-    terms: RefusalTerms
+    limits: RefusalLimits
     refused: int = 0
     _rates: dict[str, QueueRate] = field(factory=dict)
 
-    def refusal(
+    def check_new(
         self, request: PlacementRequest, queue: FairQueue, served: bool, now_ms: float
     ) -> Refuse | None:
-        """Refuse a new request, or None; ``served``: some endpoint serves its pool."""
+        """Refuse a new request, or return None to let it wait in ``queue``.
+
+        ``served`` says whether its pool has any endpoint.
+        """
         if not served:
-            return self._refuse(request, "no_endpoint", self.terms.retry_after_most_ms)
+            return self._refuse(request, "no_endpoint", self.limits.retry_after_most_ms)
         wait_ms = self._wait_ms(request, queue)
-        if queue.waiting >= self.terms.queue_limit:
+        if queue.waiting >= self.limits.queue_limit:
             return self._refuse(request, "queue_full", wait_ms)
-        if wait_ms > _HOPEFUL_SHARE * (request.deadline_ms - now_ms):
+        if wait_ms > _MAX_WAIT_SHARE * (request.deadline_ms - now_ms):
             return self._refuse(request, "too_late", wait_ms)
         return None
 
-    def overdue(self, queue: FairQueue, now_ms: float) -> list[Refuse]:
-        """Take those out of the queue whose time is over, and refuse them."""
+    def refuse_expired(self, queue: FairQueue, now_ms: float) -> list[Refuse]:
+        """Remove the requests whose deadline has passed, and refuse them."""
         refusals = []
         for request in queue.expired(now_ms):
             queue.remove(request.number)
@@ -70,32 +70,32 @@
             refusals.append(self._refuse(request, "too_late", wait_ms))
         return refusals
 
-    def granted(
+    def record_grant(
         self, request: PlacementRequest, queue: FairQueue, now_ms: float
     ) -> None:
-        """A request has left the queue by a grant: learn how fast the queue moves.
+        """Update the pool's rate after a request was granted and left the queue.
 
-        Grants without a queue tell how much was asked for, not how much is possible;
-        learning from them made the first burst after a quiet hour look hopeless.
+        Only grants from a queue that is still busy count: without a backlog they show
+        the demand and not the capacity.
         """
         if queue.waiting:
             rate = self._rates.setdefault(request.pool, QueueRate())
-            rate.moved(request.cost, now_ms)
+            rate.record_grant(request.cost, now_ms)
         elif request.pool in self._rates:
             self._rates[request.pool].pause()
 
     def _wait_ms(self, request: PlacementRequest, queue: FairQueue) -> float:
-        """How long this request would wait, judged by how fast its queue has moved."""
+        """Predict the request's wait from the queue's rate; 0 if that is unknown."""
         rate = self._rates.get(request.pool)
         if not queue.waiting or rate is None or not rate.cost_per_ms:
             return 0.0
-        return queue.ahead_of(request.team) / rate.cost_per_ms
+        return queue.cost_ahead_of(request.team) / rate.cost_per_ms
 
     def _refuse(self, request: PlacementRequest, code: str, wait_ms: float) -> Refuse:
         self.refused += 1
         return Refuse(request.number, code, self._retry_after_ms(wait_ms))
 
     def _retry_after_ms(self, wait_ms: float) -> int:
-        spread = 1 + _SPREAD_SHARE * self.random.random()
-        least_ms = max(wait_ms, self.terms.retry_after_least_ms)
-        return math.ceil(min(least_ms * spread, self.terms.retry_after_most_ms))
+        factor = 1 + _JITTER_SHARE * self.random.random()
+        least_ms = max(wait_ms, self.limits.retry_after_least_ms)
+        return math.ceil(min(least_ms * factor, self.limits.retry_after_most_ms))
--- a/src/coursekeel/routing/_limits.py
+++ b/src/coursekeel/routing/_limits.py
@@ -1,82 +1,80 @@
-"""Learn how many runs an endpoint takes, from what it refuses and how it slows.
+"""Concurrency limit of one endpoint, adapted to its refusals and its queue.
 
-Rule: the limit falls by a factor when the endpoint refuses a run or keeps a queue, and
-grows by one a limitful of successes; the endpoint's own slots bound it. Reason: runs
-that wait inside an endpoint wait out of reach of fairness and deadlines.
+Rule: the limit shrinks by a factor when the endpoint refuses a run or reports a queue,
+and grows by one for each limit's worth of successes. The endpoint's slots bound it.
+Reason: fairness and deadlines can't be applied to runs that wait inside an endpoint.
 
-Measured (docs/design/routing.md): a limit that starts at 64 whatever the endpoint says
-had a goodput at 3x capacity of 4.2 requests/s, against 40.7 with its slots as the
-bound. A core: each moment is given, in ms.
+A core: the caller passes the time, in ms.
 """
 
 from attrs import define
 
 __all__ = ["ConcurrencyLimit"]
 
-# Before an endpoint has said how many runs it works on at once.
-_START = 64.0
-# One run at least, or nothing would show that the endpoint takes work again.
-_LEAST = 1.0
-# Stands for "no bound known"; no endpoint has so many slots.
-_MOST = 4096.0
-# Multiplicative decrease: gentle for a queue, which a report shows late, and stronger
-# for a refusal, which costs its caller a try.
-_AFTER_REFUSAL = 0.8
-_AFTER_QUEUE = 0.95  # see above
+# Before an endpoint has reported its slots.
+_INITIAL_LIMIT = 64.0
+# With no run at all nothing would show that the endpoint accepts work again.
+_MIN_LIMIT = 1.0
+# Stands for "slots not reported yet"; no endpoint has so many.
+_MAX_LIMIT = 4096.0
+# Multiplicative decrease: stronger for a refusal, which costs the caller a try, than
+# for a queue, which a report shows late.
+_REFUSAL_FACTOR = 0.8
+_QUEUE_FACTOR = 0.95
 
 
 @define
 class ConcurrencyLimit:
     """An additive-increase, multiplicative-decrease limit on one endpoint's runs.
 
-    Entries don't negotiate shares: each learns its own from the same refusals.
+    Instances don't coordinate their limits: each adapts its own. ``limit`` is the
+    current one, ``most`` its upper bound, ``running`` the runs that count against it.
     """
 
-    limit: float = _START
-    most: float = _MOST
+    limit: float = _INITIAL_LIMIT
+    most: float = _MAX_LIMIT
     running: int = 0
-    _held_until_ms: float = 0.0
+    _next_shrink_ms: float = 0.0
 
     @property
     def free(self) -> bool:
-        """Say whether one more run may be sent."""
+        """Whether one more run may be sent."""
         return self.running < int(self.limit)
 
     def reported(self, slots: int, queued: int, now_ms: float, hold_ms: float) -> None:
-        """The endpoint said how many runs it serves at once, and how many wait there.
+        """Apply a load report: the endpoint's slots, and the runs queued there.
 
-        Its slots bound the limit. Runs that wait inside the endpoint wait behind
-        everyone's, out of reach of fairness and deadlines, so they count as slowness.
+        A queue shrinks the limit, at most once in ``hold_ms``.
         """
         self.bound(slots)
         if queued and self.running:
-            self._shrink(_AFTER_QUEUE, now_ms, hold_ms)
+            self._shrink(_QUEUE_FACTOR, now_ms, hold_ms)
 
     def bound(self, slots: int) -> None:
-        """The endpoint works on so many runs at once; an untried limit begins there."""
-        fresh = self.most == _MOST
+        """Bound the limit by the endpoint's slots; the first call sets it to them."""
+        first = self.most == _MAX_LIMIT
         self.most = float(max(slots, 1))
-        self.limit = self.most if fresh else min(self.limit, self.most)
+        self.limit = self.most if first else min(self.limit, self.most)
 
     def started(self) -> None:
-        """A run was sent."""
+        """Count a run that was sent."""
         self.running += 1
 
     def ended(self) -> None:
-        """A run ended, however it did."""
+        """Stop counting a run, whatever its outcome."""
         self.running -= 1
 
     def succeeded(self) -> None:
-        """A run gave its first token in good time."""
+        """Grow the limit after a success, if at least half of it is in use."""
         if self.running >= self.limit / 2:
             self.limit = min(self.most, self.limit + 1 / max(self.limit, 1.0))
 
     def refused(self, now_ms: float, hold_ms: float) -> None:
-        """The endpoint turned a run away; one burst of refusals counts once."""
-        self._shrink(_AFTER_REFUSAL, now_ms, hold_ms)
+        """Shrink the limit after a refusal, at most once in ``hold_ms``."""
+        self._shrink(_REFUSAL_FACTOR, now_ms, hold_ms)
 
     def _shrink(self, factor: float, now_ms: float, hold_ms: float) -> None:
-        if now_ms < self._held_until_ms:
+        if now_ms < self._next_shrink_ms:
             return
-        self._held_until_ms = now_ms + hold_ms
-        self.limit = max(_LEAST, min(self.limit, self.running) * factor)
+        self._next_shrink_ms = now_ms + hold_ms
+        self.limit = max(_MIN_LIMIT, min(self.limit, self.running) * factor)
--- a/src/coursekeel/routing/_messages.py
+++ b/src/coursekeel/routing/_messages.py
@@ -1,4 +1,4 @@
-"""What routing is told and what it answers."""
+"""Inputs and decisions of the router."""
 
 from attrs import field, frozen
 
@@ -7,18 +7,22 @@
 
 @frozen
 class PlacementRequest:
-    """A request that needs an endpoint of ``pool``: a model's engines, a service's, or
-    a gateway's pool.
-
-    ``number`` is how its decision finds it. ``cost`` is its part of what a pool does,
-    for fairness among teams: prompt and output tokens together for a generation, 1 for
-    a call. ``rank`` orders the classes, 0 first. A continuing request has tokens
-    already, and goes before new work. ``prompt_key`` names the prompt, salted by team,
-    for prefix affinity. ``asked`` are the endpoints whose load was asked for just now;
-    while one of them has room, no other is chosen. ``avoided_zones`` are those where
-    this request was lost. ``caller_resumes`` says that the caller holds a part of the
-    answer already, so that its prompt lies in some endpoint's cache; ``kept_at`` are
-    the endpoints that were asked and keep it.
+    """A request that needs an endpoint of ``pool``.
+
+    | field | meaning |
+    | --- | --- |
+    | number | identifies the request in its decision |
+    | cost | share of the pool's work, for fairness among teams: prompt and output
+      tokens of a generation, 1 for a call |
+    | rank | order of the classes, 0 first |
+    | continuing | has tokens already; placed before new requests |
+    | prompt_key | hash of the prompt, salted by team, for prefix affinity |
+    | excluded | endpoints to avoid |
+    | asked | endpoints whose load was just queried; preferred while one has room |
+    | avoided_zones | zones where an endpoint was lost under this request |
+    | caller_resumes | the caller holds a part of the answer, so that some endpoint has
+      the prompt cached |
+    | kept_at | endpoints that confirmed that they have the prompt cached |
     """
 
     team: str
@@ -42,10 +46,10 @@
 
 @frozen
 class LoadReport:
-    """An endpoint's own report of its load, as of ``asked_ms``.
+    """An endpoint's own load report, as of ``asked_ms``.
 
-    ``unread_runs`` are requests that wait there or whose prompt is being read, and
-    ``free_tokens`` is the memory for more; both are None if it doesn't say.
+    ``unread_runs`` is the number of requests there that are queued or in prefill,
+    ``free_tokens`` the free cache memory in tokens; None if not reported.
     """
 
     endpoint_id: str
@@ -59,7 +63,7 @@
 
 @frozen
 class Grant:
-    """The request may go to this endpoint, where a place is taken for it."""
+    """The request may be sent to this endpoint, where a place is reserved for it."""
 
     number: int
     endpoint_id: str
@@ -67,7 +71,7 @@
 
 @frozen
 class Refuse:
-    """The request can't be served in its time; final, and given at once."""
+    """The request can't be served before its deadline; final."""
 
     number: int
     code: str
--- a/src/coursekeel/routing/_queue.py
+++ b/src/coursekeel/routing/_queue.py
@@ -1,6 +1,6 @@
-"""The requests that wait for one pool in one class, fair among teams by their cost.
+"""Queue of the requests that wait for one pool in one class, fair among teams.
 
-Owns the order in which they are granted. A core; only `expired` looks at the time.
+Owns the order in which they are granted. A core; only `expired` takes the time.
 """
 
 from collections import deque
@@ -11,14 +11,14 @@
 
 __all__ = ["FairQueue"]
 
-# What a team's turn gives it, in the cost of requests (tokens of a generation, 1 for a
-# call): about a tenth of a long prompt, so that turns pass often.
-_QUANTUM = 512.0
+# Deficit added per turn, in the unit of `PlacementRequest.cost`. Small against a long
+# prompt, so that turns pass often.
+_QUANTUM_COST = 512.0
 
 
 @define
 class _TeamQueue:
-    """One team's requests; ``deficit`` is the cost that it may be granted now."""
+    """One team's requests; ``deficit`` is the cost that may be granted to it now."""
 
     weight: float
     waiting: deque[PlacementRequest] = field(factory=deque)
@@ -29,8 +29,8 @@
 class FairQueue:
     """Deficit round robin over the teams of one class.
 
-    A team's turn gives it a quantum of cost; a request goes when the team's deficit
-    covers its cost. A team that floods the class so delays itself, not the others.
+    Each turn adds a quantum to the team's deficit, and a request is granted once the
+    deficit covers its cost. A team that floods the queue delays only itself.
     """
 
     _teams: dict[str, _TeamQueue] = field(factory=dict)
@@ -38,7 +38,7 @@
     waiting: int = 0
 
     def add(self, request: PlacementRequest) -> None:
-        """Queue a request at the end of its team's line."""
+        """Append a request to its team's queue."""
         team = self._teams.get(request.team)
         if team is None:
             team = self._teams[request.team] = _TeamQueue(request.weight)
@@ -47,57 +47,57 @@
         self.waiting += 1
 
     def remove(self, number: int) -> PlacementRequest | None:
-        """Take a request out of the line; None if it isn't there."""
+        """Remove and return a request by its number; None if it isn't queued."""
         for name, team in self._teams.items():
             for request in team.waiting:
                 if request.number == number:
                     team.waiting.remove(request)
-                    self._left(name, request)
+                    self._after_removal(name, request)
                     return request
         return None
 
     def requests(self) -> list[PlacementRequest]:
-        """All that wait, team by team."""
-        return [each for team in self._teams.values() for each in team.waiting]
+        """All waiting requests, team by team."""
+        return [request for team in self._teams.values() for request in team.waiting]
 
     def head(self) -> PlacementRequest | None:
-        """The request whose turn it is; asking again gives the same one."""
+        """The request to grant next, the same until it is removed; None if empty."""
         while self._turns:
             team = self._teams[self._turns[0]]
             request = team.waiting[0]
             if team.deficit >= request.cost:
                 return request
-            team.deficit += _QUANTUM * team.weight
+            team.deficit += _QUANTUM_COST * team.weight
             self._turns.rotate(-1)
         return None
 
     def pop(self, request: PlacementRequest) -> None:
-        """Take the request that `head` gave."""
+        """Remove the request that `head` returned, and charge its team."""
         team = self._teams[request.team]
         team.waiting.popleft()
         team.deficit -= request.cost
-        self._left(request.team, request)
+        self._after_removal(request.team, request)
 
-    def ahead_of(self, team_name: str) -> float:
-        """The cost that is served before a new request of this team, about.
+    def cost_ahead_of(self, team_name: str) -> float:
+        """Estimate the cost that is served before a new request of this team.
 
-        Others' share is bounded by what the team itself has waiting: with fair turns a
-        team that waits for little is soon served, however much another has queued.
+        Each other team counts for at most the team's own waiting cost and a quantum,
+        since turns are fair.
         """
-        own = self._waiting_cost(team_name)
-        fair = sum(
-            min(self._waiting_cost(name), own + _QUANTUM)
+        own_cost = self._waiting_cost(team_name)
+        others_cost = sum(
+            min(self._waiting_cost(name), own_cost + _QUANTUM_COST)
             for name in self._teams
             if name != team_name
         )
-        return own + fair
+        return own_cost + others_cost
 
     def _waiting_cost(self, name: str) -> float:
         team = self._teams.get(name)
-        return sum(each.cost for each in team.waiting) if team else 0.0
+        return sum(request.cost for request in team.waiting) if team else 0.0
 
     def expired(self, now_ms: float) -> list[PlacementRequest]:
-        """Requests whose deadline has passed; they stay until removed."""
+        """Requests whose deadline has passed; the caller removes them."""
         return [
             request
             for team in self._teams.values()
@@ -105,7 +105,7 @@
             if now_ms >= request.deadline_ms
         ]
 
-    def _left(self, name: str, request: PlacementRequest) -> None:
+    def _after_removal(self, name: str, request: PlacementRequest) -> None:
         self.waiting -= 1
         if not self._teams[name].waiting:
             del self._teams[name]
--- a/src/coursekeel/routing/_reading.py
+++ b/src/coursekeel/routing/_reading.py
@@ -1,40 +1,40 @@
-"""How fast a pool's endpoints read prompts, learned from own streams.
+"""Estimate of how fast a pool's endpoints read prompts (prefill).
 
-The fastest of late first events tells it: whatever else an endpoint does only makes one
-come later. A slower truth is believed slowly, so that one crowded minute doesn't hide
-what reading costs. A core without a clock.
+Rule: the fastest recent first event sets the estimate, since other work at an endpoint
+can only delay it. Slower samples raise the estimate slowly, so that a short overload
+doesn't hide the cost of prefill.
+
+A core without a clock.
 """
 
 from attrs import define
 
-__all__ = ["ReadingSpeed"]
+__all__ = ["PrefillSpeed"]
 
-# Before the first stream has begun. Engines that were seen read 5 and 8 tokens a ms,
-# 0.2 and 0.125 each.
-_UNTRIED_MS_PER_TOKEN = 0.15
+# Before the first sample.
+_INITIAL_MS_PER_TOKEN = 0.15
 
-# How much of the way to a slower reading each one moves the estimate. A fifth of the
-# way after ten.
-_SLOWER_SHARE = 0.02
+# Weight of a slower sample in the moving average.
+_SLOWER_SAMPLE_WEIGHT = 0.02
 
-# A shorter prompt tells more of the way there than of reading.
-_LEAST_TOKENS = 500
+# With shorter prompts the network delay outweighs the prefill time.
+_MIN_PROMPT_TOKENS = 500
 
 
 @define
-class ReadingSpeed:
-    """``ms_per_token`` is what reading one token of a prompt takes."""
+class PrefillSpeed:
+    """``ms_per_token`` is the estimated prefill time of one prompt token."""
 
-    ms_per_token: float = _UNTRIED_MS_PER_TOKEN
-    _tried: bool = False
+    ms_per_token: float = _INITIAL_MS_PER_TOKEN
+    _has_sample: bool = False
 
-    def began(self, prompt_tokens: int, waited_ms: float) -> None:
-        """A run that read its whole prompt gave its first event after so long."""
-        if prompt_tokens < _LEAST_TOKENS or waited_ms <= 0:
+    def began(self, prompt_tokens: int, first_event_ms: float) -> None:
+        """Record the time to the first event of a run that read its whole prompt."""
+        if prompt_tokens < _MIN_PROMPT_TOKENS or first_event_ms <= 0:
             return
-        seen = waited_ms / prompt_tokens
-        if not self._tried or seen < self.ms_per_token:
-            self.ms_per_token = seen
-            self._tried = True
+        sample_ms = first_event_ms / prompt_tokens
+        if not self._has_sample or sample_ms < self.ms_per_token:
+            self.ms_per_token = sample_ms
+            self._has_sample = True
             return
-        self.ms_per_token += _SLOWER_SHARE * (seen - self.ms_per_token)
+        self.ms_per_token += _SLOWER_SAMPLE_WEIGHT * (sample_ms - self.ms_per_token)
--- a/src/coursekeel/routing/_router.py
+++ b/src/coursekeel/routing/_router.py
@@ -1,7 +1,8 @@
-"""Decide which request goes to which endpoint, which waits, and which is refused.
+"""Placement: which request goes to which endpoint, which waits, which is refused.
 
-Owns the requests that wait. Relies on `KnownEndpoints` for where a request may go, and
-on `Forecast` for what is refused. A core: no sockets, and each moment is given, in ms.
+Owns the waiting requests. Relies on `KnownEndpoints` for the choice of an endpoint, and
+on `AdmissionControl` for refusals. A core: no sockets, and the caller passes the time,
+in ms.
 """
 
 from collections.abc import Callable
@@ -10,7 +11,7 @@
 from attrs import define, evolve, field, frozen
 
 from coursekeel.routing._budget import RetryBudget
-from coursekeel.routing._forecast import Forecast, RefusalTerms
+from coursekeel.routing._forecast import AdmissionControl, RefusalLimits
 from coursekeel.routing._known_endpoints import KnownEndpoints
 from coursekeel.routing._load import EndpointLoad
 from coursekeel.routing._messages import Decision, Grant, LoadReport, PlacementRequest
@@ -18,18 +19,18 @@
 
 __all__ = ["Router", "RouterSettings"]
 
-# What a success earns of a retry in a class whose intent says nothing of it.
-_USUAL_RETRY_SHARE = 0.2
+# Part of a retry that a success earns in a class without a configured retry share.
+_DEFAULT_RETRY_SHARE = 0.2
 
 
 @frozen
 class RouterSettings:
-    """Bounds on what waits, and on the `Retry-After` of refusals.
+    """Bounds on waiting requests and on `Retry-After`.
 
-    ``refusal_hold_ms``: refusals of one endpoint within it shrink its limit once.
-    ``avoid_ms``: a continuing request waits so long for an endpoint that it need not
-    avoid. ``continuing_at_once``: so many of them are looked at in one review, since
-    each costs a choice over the whole pool. The gateway's own stand in `Gateway`.
+    ``refusal_hold_ms``: minimum interval between shrinks of an endpoint's limit by
+    refusals. ``avoid_ms``: how long a continuing request waits before it may go to an
+    endpoint that it excludes. ``continuing_at_once``: how many continuing requests one
+    review considers, since each is a choice over the whole pool.
     """
 
     queue_limit: int = 1_000
@@ -42,17 +43,18 @@
 
 @frozen
 class _Continuing:
-    """A request that has tokens already, and when it came."""
+    """A continuing request, and the time at which it was added."""
 
     request: PlacementRequest
-    since_ms: float
+    added_ms: float
 
 
 @define(eq=False)
 class Router:
-    """One instance's routing; ``may_take`` says whether an endpoint may take new work.
+    """The router of one instance.
 
-    Every method that gives decisions may decide on requests that came earlier.
+    ``may_take(endpoint_id, now_ms)`` returns whether an endpoint may take new work.
+    Every method that returns decisions may decide on requests placed earlier.
     """
 
     zone: str
@@ -60,7 +62,7 @@
     may_take: Callable[[str, float], bool]
     settings: RouterSettings = field(factory=RouterSettings)
     endpoints: KnownEndpoints = field(init=False)
-    _forecast: Forecast = field(init=False)
+    _admission: AdmissionControl = field(init=False)
     _queues: dict[tuple[int, str, str], FairQueue] = field(factory=dict)
     _continuing: dict[int, _Continuing] = field(factory=dict)
     _budgets: dict[str, RetryBudget] = field(factory=dict)
@@ -69,9 +71,9 @@
     def __attrs_post_init__(self) -> None:
         settings = self.settings
         self.endpoints = KnownEndpoints(self.zone, self.random, self.may_take)
-        self._forecast = Forecast(
+        self._admission = AdmissionControl(
             self.random,
-            RefusalTerms(
+            RefusalLimits(
                 settings.queue_limit,
                 settings.retry_after_least_ms,
                 settings.retry_after_most_ms,
@@ -80,20 +82,23 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for an endpoint."""
+        """The number of requests that wait for an endpoint."""
         return len(self._continuing) + sum(q.waiting for q in self._queues.values())
 
     @property
     def refused(self) -> int:
-        """How many requests were refused so far."""
-        return self._forecast.refused
+        """The number of requests refused so far."""
+        return self._admission.refused
 
     def load(self, endpoint_id: str) -> EndpointLoad | None:
-        """What is known of an endpoint's load."""
+        """The endpoint's load; None if it isn't configured."""
         return self.endpoints.load(endpoint_id)
 
     def set_retry_shares(self, shares: dict[str, float]) -> None:
-        """Set how many retries a class earns by one success."""
+        """Set the part of a retry that one success earns, by class.
+
+        The budget of a class whose share changes starts again.
+        """
         self._retry_shares = shares
         self._budgets = {
             name: budget
@@ -104,20 +109,20 @@
     # Requests.
 
     def place(self, request: PlacementRequest, now_ms: float) -> list[Decision]:
-        """Take a request; it is granted, refused, or waits for a later decision."""
+        """Add a request; it is granted, refused, or waits for a later decision."""
         if request.continuing:
             self._continuing[request.number] = _Continuing(request, now_ms)
             return self.review(now_ms)
         queue = self._queue_of(request)
         served = self.endpoints.serves(request.pool)
-        refusal = self._forecast.refusal(request, queue, served, now_ms)
+        refusal = self._admission.check_new(request, queue, served, now_ms)
         if refusal is not None:
             return [refusal]
         queue.add(request)
         return self.review(now_ms)
 
     def withdraw(self, number: int) -> None:
-        """The request no longer needs an endpoint."""
+        """Remove a waiting request; no effect if it isn't waiting."""
         if self._continuing.pop(number, None) is not None:
             return
         for queue in self._queues.values():
@@ -125,37 +130,37 @@
                 return
 
     def move(self, pool: str, to: str) -> None:
-        """What waits for a pool that is no more waits for another."""
-        for key in [each for each in self._queues if each[2] == pool]:
+        """Move the queued requests of a removed pool to another one."""
+        for key in [queue_key for queue_key in self._queues if queue_key[2] == pool]:
             for request in self._queues.pop(key).requests():
                 moved = evolve(request, pool=to)
                 self._queue_of(moved).add(moved)
 
     def review(self, now_ms: float) -> list[Decision]:
-        """Grant what can be granted and refuse what has waited too long."""
+        """Grant what fits now, and refuse the requests past their deadline."""
         decisions: list[Decision] = []
         for queue in self._queues.values():
-            decisions += self._forecast.overdue(queue, now_ms)
+            decisions += self._admission.refuse_expired(queue, now_ms)
         decisions += self._grant_continuing(now_ms)
         for key in sorted(self._queues):
             decisions += self._grant_queue(self._queues[key], now_ms)
         self._queues = {key: q for key, q in self._queues.items() if q.waiting}
         return decisions
 
-    # What happened at endpoints.
+    # Events at endpoints.
 
     def reported(self, report: LoadReport, now_ms: float) -> list[Decision]:
-        """Take an endpoint's load report."""
+        """Apply an endpoint's load report."""
         load = self.load(report.endpoint_id)
         if load is not None:
             load.reported(report)
         return self.review(now_ms)
 
     def succeeded(self, endpoint_id: str, request_class: str) -> None:
-        """A run gave its first token, or a call its whole answer.
+        """Record a run's first token, or a call's whole answer.
 
-        How long that took says nothing here: when this process is short of time every
-        endpoint looks slow, and limits that fell for it turned callers away.
+        The latency doesn't affect the limit: when this process is short of CPU, every
+        endpoint looks slow.
         """
         load = self.load(endpoint_id)
         if load is not None:
@@ -163,13 +168,13 @@
         self._budget(request_class).succeeded()
 
     def sent_to_copy(self, endpoint_id: str) -> None:
-        """A run goes to the endpoint that keeps its copy, which wasn't granted here."""
+        """Count a run that goes to the endpoint with its copy, without a grant."""
         load = self.load(endpoint_id)
         if load is not None:
             load.sent("")
 
     def turned_away(self, endpoint_id: str, now_ms: float) -> None:
-        """The endpoint refused a run for lack of room."""
+        """Record that the endpoint refused a run for lack of room."""
         load = self.load(endpoint_id)
         if load is not None:
             load.limit.refused(now_ms, self.settings.refusal_hold_ms)
@@ -177,7 +182,7 @@
     def released(
         self, endpoint_id: str, run_ms: float, now_ms: float, failed: bool = False
     ) -> list[Decision]:
-        """A granted place is free again; ``failed`` if the endpoint failed the run."""
+        """Free a granted place after a run; ``failed`` if the endpoint failed it."""
         load = self.load(endpoint_id)
         if load is not None:
             load.ended(run_ms, failed)
@@ -186,26 +191,28 @@
     def returned(
         self, endpoint_id: str, prompt_tokens: int, now_ms: float
     ) -> list[Decision]:
-        """A granted place wasn't used: it is free again, and tells nothing of runs."""
+        """Free a granted place to which nothing was sent."""
         load = self.load(endpoint_id)
         if load is not None:
             load.returned(prompt_tokens)
         return self.review(now_ms)
 
-    # Continuing requests: longest progress first, paced by the class's budget.
+    # Continuing requests: most tokens first, limited by the class's retry budget.
 
     def _grant_continuing(self, now_ms: float) -> list[Decision]:
-        waiting = sorted(
-            self._continuing.values(), key=lambda each: -each.request.held_tokens
+        by_progress = sorted(
+            self._continuing.values(), key=lambda waiting: -waiting.request.held_tokens
         )
         decisions: list[Decision] = []
-        for each in waiting[: self.settings.continuing_at_once]:
-            decisions += self._grant_one_continuing(each, now_ms)
+        for waiting in by_progress[: self.settings.continuing_at_once]:
+            decisions += self._grant_one_continuing(waiting, now_ms)
         return decisions
 
-    def _grant_one_continuing(self, each: _Continuing, now_ms: float) -> list[Decision]:
-        request = each.request
-        in_need = now_ms - each.since_ms >= self.settings.avoid_ms
+    def _grant_one_continuing(
+        self, waiting: _Continuing, now_ms: float
+    ) -> list[Decision]:
+        request = waiting.request
+        in_need = now_ms - waiting.added_ms >= self.settings.avoid_ms
         load = self.endpoints.choose(request, now_ms, in_need)
         if load is None:
             return []
@@ -214,7 +221,7 @@
         del self._continuing[request.number]
         return [self._grant(request, load)]
 
-    # New requests: classes in order of rank, teams within a class fair.
+    # New requests: classes in order of rank, fair among the teams of a class.
 
     def _grant_queue(self, queue: FairQueue, now_ms: float) -> list[Decision]:
         decisions: list[Decision] = []
@@ -223,7 +230,7 @@
             if load is None:
                 break
             queue.pop(request)
-            self._forecast.granted(request, queue, now_ms)
+            self._admission.record_grant(request, queue, now_ms)
             decisions.append(self._grant(request, load))
         return decisions
 
@@ -238,6 +245,6 @@
     def _budget(self, request_class: str) -> RetryBudget:
         budget = self._budgets.get(request_class)
         if budget is None:
-            share = self._retry_shares.get(request_class, _USUAL_RETRY_SHARE)
+            share = self._retry_shares.get(request_class, _DEFAULT_RETRY_SHARE)
             budget = self._budgets[request_class] = RetryBudget(share)
         return budget
--- a/src/coursekeel/routing/_window_budget.py
+++ b/src/coursekeel/routing/_window_budget.py
@@ -1,19 +1,15 @@
-"""Retry: one instance's part of a bound on repeats that all instances keep together.
-
-Rule: each request that arrives earns a part of a repeat, which lapses after the window;
-a saved part of what all have beyond that comes back slowly. A repeat takes one. With
-less than one left it is drawn by lot, with as much chance as is left, and all that is
-left is spent however the lot falls.
-
-Reason: in a large group every part is below one. A budget that gives whole repeats only
-then gives none at all, while the group's bound is hardly used: on a day with 195
-instances 81 streams lost their engine and none was resumed. The lot spends what it
-risks, so that the repeats of all instances together come to no more than their parts
-do, but for luck, and `RetryBudgets` leaves room for that. Earnings that lapse after a
-window are the other half of the bound: what is spent in one window was earned in it or
-in the one before.
-
-A core: the time is given, in ms.
+"""Retry budget of one instance: its part of a bound that all instances share.
+
+Rule: each request that arrives earns a part of a retry, which expires after the window;
+a reserve, this instance's part of the common one, refills slowly. A retry spends one.
+If less than one is left, the retry is allowed at random with the remaining amount as
+its probability, and that amount is spent whatever the outcome.
+
+Reason: in a large group every instance's part is below one, so that whole retries only
+would mean no retries at all. Since the draw spends what it risks, the group's retries
+stay within the shared bound on average; `RetryBudgets` leaves room for the variance.
+
+A core: the caller passes the time, in ms.
 """
 
 from collections import deque
@@ -26,18 +22,18 @@
 
 @define
 class _Earning:
-    """A part of a repeat, and when it lapses."""
+    """A part of a retry, and when it expires."""
 
     part: float
-    lapses_ms: float
+    expires_ms: float
 
 
 @define(eq=False)
 class WindowBudget:
-    """``saved`` is what is left of this instance's part of the common reserve.
+    """``saved`` is the available part of the reserve, in retries.
 
-    ``per_request`` is how much of a repeat one request earns; ``most`` how much can be
-    saved up, and ``refill_per_s`` how fast it comes back.
+    ``per_request`` is the part of a retry that one request earns. ``most`` caps
+    ``saved``, and ``refill_per_s`` is how fast it refills.
     """
 
     per_request: float
@@ -47,18 +43,18 @@
     refill_per_s: float = 0.0
     saved: float = 0.0
     _earned: deque[_Earning] = field(factory=deque)
-    _at_ms: float | None = None
+    _refilled_ms: float | None = None
 
     def requested(self, now_ms: float) -> None:
-        """A request arrived."""
-        self._lapse(now_ms)
+        """Earn a part of a retry for a request that arrived."""
+        self._expire(now_ms)
         self._earned.append(_Earning(self.per_request, now_ms + self.window_ms))
 
     def take(self, now_ms: float) -> bool:
-        """Take one repeat, or draw for it if less than one is left."""
-        self._lapse(now_ms)
+        """Spend one retry, or draw at random for it if less than one is left."""
+        self._expire(now_ms)
         self._refill(now_ms)
-        left = self.saved + sum(each.part for each in self._earned)
+        left = self.saved + sum(earning.part for earning in self._earned)
         if left >= 1:
             self._spend(1.0)
             return True
@@ -67,23 +63,23 @@
         return self.random.random() < left
 
     def is_spent(self, now_ms: float) -> bool:
-        """Say whether there is no whole repeat now."""
-        self._lapse(now_ms)
+        """Whether less than one retry is left."""
+        self._expire(now_ms)
         self._refill(now_ms)
-        return self.saved + sum(each.part for each in self._earned) < 1
+        return self.saved + sum(earning.part for earning in self._earned) < 1
 
     def give_back(self) -> None:
-        """A repeat that was taken reached nobody after all."""
+        """Return a retry that was taken and not sent to any endpoint."""
         self.saved = min(self.saved + 1, max(self.most, 1.0))
 
     def fit(self, most: float, refill_per_s: float) -> None:
-        """Change this instance's part; what is saved beyond it is given up."""
+        """Set this instance's part of the reserve; savings above it are dropped."""
         self.most = most
         self.refill_per_s = refill_per_s
         self.saved = min(self.saved, most)
 
     def _spend(self, part: float) -> None:
-        """What lapses first goes first."""
+        """Spend the earnings that expire first, then the reserve."""
         while part > 0 and self._earned:
             first = self._earned[0]
             spent = min(part, first.part)
@@ -93,12 +89,12 @@
                 self._earned.popleft()
         self.saved -= part
 
-    def _lapse(self, now_ms: float) -> None:
-        while self._earned and self._earned[0].lapses_ms <= now_ms:
+    def _expire(self, now_ms: float) -> None:
+        while self._earned and self._earned[0].expires_ms <= now_ms:
             self._earned.popleft()
 
     def _refill(self, now_ms: float) -> None:
-        since_ms = 0.0 if self._at_ms is None else now_ms - self._at_ms
-        self._at_ms = now_ms
-        gained = since_ms / 1000 * self.refill_per_s
+        elapsed_ms = 0.0 if self._refilled_ms is None else now_ms - self._refilled_ms
+        self._refilled_ms = now_ms
+        gained = elapsed_ms / 1000 * self.refill_per_s
         self.saved = max(self.saved, min(self.saved + gained, self.most))
--- a/tests/cover/test_failing_zones.py
+++ b/tests/cover/test_failing_zones.py
@@ -29,25 +29,25 @@
 
 def test_one_endpoint_that_dies_says_nothing_of_its_zone():
     zones = FailingZones()
-    zones.lost("a", "a1", 0.0)
-    zones.lost("a", "a1", 10.0)
-    assert not zones.avoided("a", 11.0)
+    zones.record_loss("a", "a1", 0.0)
+    zones.record_loss("a", "a1", 10.0)
+    assert not zones.is_avoided("a", 11.0)
 
 
 def test_two_that_die_together_do_and_for_a_while():
     zones = FailingZones()
-    zones.lost("a", "a1", 0.0)
-    zones.lost("a", "a2", 10.0)
-    assert zones.avoided("a", 1_500.0)
-    assert not zones.avoided("b", 11.0)
-    assert not zones.avoided("a", 1_511.0)
+    zones.record_loss("a", "a1", 0.0)
+    zones.record_loss("a", "a2", 10.0)
+    assert zones.is_avoided("a", 1_500.0)
+    assert not zones.is_avoided("b", 11.0)
+    assert not zones.is_avoided("a", 1_511.0)
 
 
 def test_two_that_die_far_apart_do_not():
     zones = FailingZones()
-    zones.lost("a", "a1", 0.0)
-    zones.lost("a", "a2", 5_000.0)
-    assert not zones.avoided("a", 5_001.0)
+    zones.record_loss("a", "a1", 0.0)
+    zones.record_loss("a", "a2", 5_000.0)
+    assert not zones.is_avoided("a", 5_001.0)
 
 
 def test_new_work_and_copies_go_elsewhere():
