--- a/src/coursekeel/forwarding/_directory.py
+++ b/src/coursekeel/forwarding/_directory.py
@@ -1,12 +1,11 @@
-"""The endpoints an instance knows, and which of them may take new work now.
+"""The listed endpoints, and which of them may take new work now.
 
-Rule: an endpoint may take new work while the list names it and doesn't say that it
-leaves, unless this instance's own requests found it dead: that ejects it for a time
-that doubles with each proof, because the list may name a dead endpoint for seconds (an
-entry goes after three heartbeats of silence). One whose address another incarnation
-has is never used again.
+Rule: an endpoint may take new work while the store's list names it and doesn't mark it
+as leaving. If a request of this instance finds it unreachable it is ejected, because
+the list drops a crashed endpoint only after three missed heartbeats; the time doubles
+with each ejection. One whose address another incarnation has is never used again.
 
-Owns the records and the ejections. A core: each moment is given, in ms.
+Owns the records and the ejections. A core: the caller passes the time, in ms.
 """
 
 from collections.abc import Collection, Iterable
@@ -18,25 +17,21 @@
 
 __all__ = ["EndpointDirectory"]
 
-# The first ejection: longer than an endpoint that only paused needs to answer again,
-# shorter than a restart.
+# Longer than an endpoint needs to respond again after a pause, shorter than a restart.
 _FIRST_EJECTION_MS = 700.0
-# About as long as the list takes to drop a dead endpoint at most; after that the list
-# speaks.
-_LONGEST_EJECTION_MS = 6_000.0
-# An endpoint that failed no request for so long after an ejection begins anew with the
-# first.
-_FORGIVEN_MS = 5_000.0
+# About as long as the list takes at most to drop a crashed endpoint.
+_MAX_EJECTION_MS = 6_000.0
+# A failure later than this after the end of an ejection counts as a first one.
+_EJECTION_RESET_MS = 5_000.0
 
-# Ids that the list named and dropped, the latest: a server that leaves without saying
-# so serves on for some seconds, and must not be taken for a new one. More than leave a
-# site within a minute.
-_MAX_ONCE_LISTED = 1_000
+# How many ids that the list dropped are remembered. A stopping server serves for some
+# seconds after that, and must not be adopted as a new one.
+_MAX_DELISTED_IDS = 1_000
 
 
 @define
 class _Health:
-    """What this instance's own requests met at one incarnation."""
+    """Failures of this instance's own requests at one incarnation."""
 
     ejected_until_ms: float = float("-inf")
     ejection_ms: float = 0.0
@@ -45,125 +40,131 @@
 
 @define
 class EndpointDirectory:
-    """Records by endpoint id, with what own requests met there beside them."""
+    """Records by endpoint id, with the failures of this instance's requests there.
+
+    Each record has the store position that it is as of.
+    """
 
     _records: dict[str, EndpointRecord] = field(factory=dict)
-    _moments: dict[str, StoreMoment] = field(factory=dict)
+    _positions: dict[str, StoreMoment] = field(factory=dict)
     _health: dict[str, _Health] = field(factory=dict)
-    _returning: bool = False
-    _lapsed: set[str] = field(factory=set)
+    _recovering: bool = False
+    _missing: set[str] = field(factory=set)
     _adopted: set[str] = field(factory=set)
-    _once_listed: dict[str, None] = field(factory=dict)
+    _delisted_ids: dict[str, None] = field(factory=dict)
 
-    def put(self, record: EndpointRecord, moment: StoreMoment) -> None:
-        """Take a record; one older than what is known is passed over."""
-        if moment < self._moment_of(record.endpoint_id):
+    def put(self, record: EndpointRecord, position: StoreMoment) -> None:
+        """Store a record; one older than the stored one is ignored."""
+        if position < self._position_of(record.endpoint_id):
             return
-        self._moments[record.endpoint_id] = moment
+        self._positions[record.endpoint_id] = position
         self._records[record.endpoint_id] = record
-        self._lapsed.discard(record.endpoint_id)
+        self._missing.discard(record.endpoint_id)
         self._adopted.discard(record.endpoint_id)
 
     def store_returned(self) -> None:
-        """The list is read again after an outage, in which entries may have lapsed.
+        """Note that the list is read again after an outage, and may lack endpoints.
 
-        Endpoints that live register again within moments. Until `settle` one whose
-        entry is missing may still take work, unless it was leaving: dropping all of
-        them at once would refuse every request until they are back.
+        Running endpoints register again soon. Until `settle` one that is missing may
+        still take work unless it was leaving: removing all of them at once would refuse
+        every request until they are listed again.
         """
-        self._returning = True
-        self._lapsed |= self._adopted
+        self._recovering = True
+        self._missing |= self._adopted
 
     def settle(self) -> list[str]:
-        """Endpoints still missing some time after an outage are gone; names them."""
-        self._returning = False
-        gone, self._lapsed = sorted(self._lapsed), set()
+        """Remove the endpoints still missing some time after an outage; returns ids."""
+        self._recovering = False
+        gone, self._missing = sorted(self._missing), set()
         for endpoint_id in gone:
             self._forget(endpoint_id)
         return gone
 
-    def remove(self, endpoint_id: str, moment: StoreMoment) -> None:
-        """The list dropped the endpoint: it is gone, or about to be."""
-        if moment < self._moment_of(endpoint_id):
+    def remove(self, endpoint_id: str, position: StoreMoment) -> None:
+        """Remove an endpoint that the list dropped.
+
+        After an outage it stays until `settle`, unless it was leaving.
+        """
+        if position < self._position_of(endpoint_id):
             return
         record = self._records.get(endpoint_id)
-        if self._returning and record is not None and not record.leaving:
-            self._lapsed.add(endpoint_id)
+        if self._recovering and record is not None and not record.leaving:
+            self._missing.add(endpoint_id)
             return
         self._forget(endpoint_id)
 
     def _forget(self, endpoint_id: str) -> None:
         self._adopted.discard(endpoint_id)
-        self._once_listed[endpoint_id] = None
-        if len(self._once_listed) > _MAX_ONCE_LISTED:
-            del self._once_listed[next(iter(self._once_listed))]
+        self._delisted_ids[endpoint_id] = None
+        if len(self._delisted_ids) > _MAX_DELISTED_IDS:
+            del self._delisted_ids[next(iter(self._delisted_ids))]
         self._records.pop(endpoint_id, None)
         self._health.pop(endpoint_id, None)
-        self._moments.pop(endpoint_id, None)
+        self._positions.pop(endpoint_id, None)
 
     def replace_all(
         self,
         records: Iterable[tuple[EndpointRecord, StoreMoment]],
         kept: Collection[str] = (),
     ) -> None:
-        """Take a whole list; what it doesn't name is gone.
+        """Apply a whole list; endpoints that it doesn't name are removed.
 
-        ``kept`` are the ids that it names by entries that can't be read.
+        ``kept`` are the ids of listed entries that can't be parsed.
         """
-        listed = {record.endpoint_id: (record, at) for record, at in records}
+        listed = {record.endpoint_id: (record, as_of) for record, as_of in records}
         named = listed.keys() | set(kept)
-        for endpoint_id in [each for each in self._records if each not in named]:
-            self.remove(endpoint_id, self._moment_of(endpoint_id))
-        for record, moment in listed.values():
-            self.put(record, moment)
+        for endpoint_id in [name for name in self._records if name not in named]:
+            self.remove(endpoint_id, self._position_of(endpoint_id))
+        for record, position in listed.values():
+            self.put(record, position)
 
     def restore(
         self,
         records: Iterable[tuple[EndpointRecord, StoreMoment]],
         kept: Collection[str] = (),
     ) -> None:
-        """Take the whole list of a store that came back from an older copy.
+        """Apply the whole list of a store that was restored from an older copy.
 
-        The copy names endpoints that are gone since, and says of some that leave that
-        they don't: neither comes back to life by it. What it lacks counts as lapsed,
-        as after an outage, until `settle`: those that live write themselves again.
+        The copy may name endpoints that were removed since, or lack the mark of one
+        that is leaving: both stay as they are here. Endpoints that it lacks count as
+        missing until `settle`, as after an outage; running ones register again.
         """
         self.store_returned()
-        self.replace_all(self._as_known(records), kept)
+        self.replace_all(self._merge_known_state(records), kept)
 
-    def _as_known(
+    def _merge_known_state(
         self, records: Iterable[tuple[EndpointRecord, StoreMoment]]
     ) -> Iterable[tuple[EndpointRecord, StoreMoment]]:
-        for record, moment in records:
-            if record.endpoint_id in self._once_listed:
+        for record, position in records:
+            if record.endpoint_id in self._delisted_ids:
                 continue
             known = self._records.get(record.endpoint_id)
             leaving = record.leaving or (known is not None and known.leaving)
-            yield evolve(record, leaving=leaving), moment
+            yield evolve(record, leaving=leaving), position
 
     def record(self, endpoint_id: str) -> EndpointRecord | None:
-        """The endpoint's record, if it is still listed."""
+        """The endpoint's record; None if it isn't listed."""
         return self._records.get(endpoint_id)
 
     def known(self, endpoint_id: str) -> tuple[EndpointRecord, StoreMoment]:
-        """A listed endpoint's record, and since when the list says so."""
-        return self._records[endpoint_id], self._moment_of(endpoint_id)
+        """A listed endpoint's record, and the store position that it is as of."""
+        return self._records[endpoint_id], self._position_of(endpoint_id)
 
     def at_address(self, address: str) -> EndpointRecord | None:
-        """The newest incarnation listed at an address."""
-        there = [each for each in self._records.values() if each.address == address]
-        return max(there, key=self._moment, default=None)
+        """The newest incarnation listed at an address; None if there is none."""
+        matches = [rec for rec in self._records.values() if rec.address == address]
+        return max(matches, key=self._position, default=None)
 
     def pools(self) -> dict[str, list[str]]:
         """The ids of the endpoints of each pool.
 
-        Of two incarnations at one address only the newer is served: the list keeps a
+        Of two incarnations at one address only the newer is used: the list names a
         crashed one for some heartbeats after its successor registered.
         """
         newest: dict[str, EndpointRecord] = {}
         for record in self._records.values():
             other = newest.get(record.address)
-            if other is None or self._moment(record) > self._moment(other):
+            if other is None or self._position(record) > self._position(other):
                 newest[record.address] = record
         pools: dict[str, list[str]] = {}
         for record in newest.values():
@@ -175,59 +176,60 @@
         return {name: record.zone for name, record in self._records.items()}
 
     def slots(self) -> dict[str, int]:
-        """How many requests each endpoint works on at once, 0 if it doesn't say."""
+        """The slots of each endpoint; 0 if it doesn't report them."""
         return {name: record.slots for name, record in self._records.items()}
 
     def failed(self, endpoint_id: str, now_ms: float) -> float:
-        """A request found the endpoint dead; returns for how long it is ejected."""
+        """Eject an endpoint after a failed request; returns the remaining ms."""
         health = self._health.setdefault(endpoint_id, _Health())
         if now_ms < health.ejected_until_ms:
             return health.ejected_until_ms - now_ms
-        recent = now_ms - health.ejected_until_ms < _FORGIVEN_MS
-        longer_ms = 2 * health.ejection_ms if recent else 0.0
-        bounded_ms = min(max(longer_ms, _FIRST_EJECTION_MS), _LONGEST_EJECTION_MS)
-        health.ejection_ms = bounded_ms
-        health.ejected_until_ms = now_ms + bounded_ms
-        return bounded_ms
+        recent = now_ms - health.ejected_until_ms < _EJECTION_RESET_MS
+        doubled_ms = 2 * health.ejection_ms if recent else 0.0
+        ejection_ms = min(max(doubled_ms, _FIRST_EJECTION_MS), _MAX_EJECTION_MS)
+        health.ejection_ms = ejection_ms
+        health.ejected_until_ms = now_ms + ejection_ms
+        return ejection_ms
 
     def replaced(self, endpoint_id: str) -> None:
-        """Another incarnation answered at the address: this one is over."""
+        """Mark an incarnation as replaced: another one responded at its address."""
         self._health.setdefault(endpoint_id, _Health()).replaced = True
 
     def adopt(self, endpoint_id: str, successor_id: str) -> EndpointRecord | None:
-        """Take a successor that the list doesn't name yet; None if it may not be.
+        """Add a successor that the list doesn't name yet; returns its record.
 
-        The successor has the endpoint's address and is proved to be of its pool. One
-        that the list once named and dropped is leaving. Until the list names it, it
-        counts as an entry that lapsed: the list's return settles it.
+        None if ``endpoint_id`` isn't listed, or if the list has dropped the successor,
+        which is stopping then. The caller has checked that the successor has the
+        endpoint's address and serves its pool. Until the list names it, a return of the
+        store counts it as missing.
         """
         old = self._records.get(endpoint_id)
-        if old is None or successor_id in self._once_listed:
+        if old is None or successor_id in self._delisted_ids:
             return None
         known = self._records.get(successor_id)
         if known is not None:
             return known
         record = evolve(old, endpoint_id=successor_id, leaving=False)
-        # Newer than its predecessor, older than whatever the list will say of it.
-        before = self._moment_of(endpoint_id)
-        self._moments[successor_id] = evolve(before, version=before.version + 1)
+        # Newer than its predecessor, and older than its own entry in the list.
+        before = self._position_of(endpoint_id)
+        self._positions[successor_id] = evolve(before, version=before.version + 1)
         self._records[successor_id] = record
         self._adopted.add(successor_id)
-        if self._returning:
-            self._lapsed.add(successor_id)
+        if self._recovering:
+            self._missing.add(successor_id)
         return record
 
     def unlisted(self, successor_id: str) -> bool:
-        """Say whether an adopted endpoint is still not named by the list."""
+        """Whether an endpoint was adopted and the list doesn't name it yet."""
         return successor_id in self._adopted
 
     def disown(self, successor_id: str) -> None:
-        """The list had time to name an adopted endpoint and doesn't."""
+        """Remove an adopted endpoint that the list didn't name in time."""
         if successor_id in self._adopted:
             self._forget(successor_id)
 
     def may_take(self, endpoint_id: str, now_ms: float) -> bool:
-        """Say whether new work may go to the endpoint."""
+        """Whether new work may be sent to the endpoint."""
         record = self._records.get(endpoint_id)
         if record is None or record.leaving:
             return False
@@ -236,8 +238,8 @@
             return True
         return not health.replaced and now_ms >= health.ejected_until_ms
 
-    def _moment(self, record: EndpointRecord) -> StoreMoment:
-        return self._moment_of(record.endpoint_id)
+    def _position(self, record: EndpointRecord) -> StoreMoment:
+        return self._position_of(record.endpoint_id)
 
-    def _moment_of(self, endpoint_id: str) -> StoreMoment:
-        return self._moments.get(endpoint_id, StoreMoment())
+    def _position_of(self, endpoint_id: str) -> StoreMoment:
+        return self._positions.get(endpoint_id, StoreMoment())
--- a/src/coursekeel/forwarding/_events.py
+++ b/src/coursekeel/forwarding/_events.py
@@ -1,6 +1,7 @@
-"""The events of one stream, each taken once and in order.
+"""Event streams: the ledger of one stream's events, and parsing of their bytes.
 
-Owns the events that were taken and not handed out yet. A core.
+Rule: each event is accepted once and in order. Owns the events that were accepted and
+not yet sent to the caller. A core.
 """
 
 from attrs import define, field
@@ -16,17 +17,18 @@
 class EventLedger:
     """A ledger of numbered, opaque events, for `AnswerCore`.
 
-    A position is the number of the last event that was taken. Nothing that was handed
-    out is kept: instances have little memory, and an endpoint resumes by number.
+    ``next_position`` is the number of the last accepted event, or of the one to resume
+    after. Events are dropped once `take` returned them: an endpoint resumes by number.
     """
 
     next_position: int = 0
     _pending: list[bytes] = field(factory=list)
 
     def offer(self, position: int, tokens: list[int], texts: list[bytes]) -> Offer:
-        """Take the events whose numbers are ``tokens``, the first after ``position``.
+        """Accept events whose numbers are ``tokens`` and whose bytes are ``texts``.
 
-        An event that was taken already is left out; one beyond the next is a gap.
+        Events that were accepted before are skipped. A number beyond the next one is a
+        gap, and ends the offer. ``position`` isn't used.
         """
         added = 0
         for number, event in zip(tokens, texts, strict=True):
@@ -41,24 +43,24 @@
         return Offer(kind, added)
 
     def take(self) -> bytes:
-        """The bytes of the events that were taken and not handed out yet."""
+        """Remove and return the bytes of the accepted events."""
         data = b"".join(self._pending)
         self._pending.clear()
         return data
 
 
 def split_events(buffer: bytearray) -> list[bytes]:
-    """Take whole events out of ``buffer``, and leave what is unfinished in it."""
+    """Remove the whole events from ``buffer``, and leave an unfinished one in it."""
     end = buffer.rfind(_END_OF_EVENT)
     if end < 0:
         return []
     whole = bytes(buffer[: end + len(_END_OF_EVENT)])
     del buffer[: end + len(_END_OF_EVENT)]
-    return [each + _END_OF_EVENT for each in whole.split(_END_OF_EVENT)[:-1]]
+    return [event + _END_OF_EVENT for event in whole.split(_END_OF_EVENT)[:-1]]
 
 
 def event_number(event: bytes) -> int | None:
-    """The number in an event's ``id`` line; None if it has none."""
+    """The number in an event's ``id`` line; None if it has no valid one."""
     for line in event.split(b"\n"):
         if line.startswith(b"id:"):
             text = line[3:].strip()
--- a/src/coursekeel/forwarding/_freshness.py
+++ b/src/coursekeel/forwarding/_freshness.py
@@ -1,10 +1,10 @@
-"""How fresh what this instance knows of the store is, by its own steady clock.
+"""Age of this instance's cached copy of the store, by its own monotonic clock.
 
-Rule: an answer of the store proves the state of one moment, and nothing of what came
-after. What an instance may do rests on the age of the last proven moment: a process
-that was frozen or cut off finds out by this age, whatever it last read.
+Rule: a store response confirms the state at one time, and nothing later. Decisions
+depend on the age of the last confirmed time, by which a process that was paused or
+partitioned detects that its copy is stale.
 
-Owns the last proven moment of each table. A core: all moments are given, in ms.
+Owns the last confirmed time of each table. A core: the caller passes all times, in ms.
 """
 
 import math
@@ -13,23 +13,22 @@
 
 __all__ = ["Belief", "Freshness", "StoreClock", "proven_moment_ms"]
 
-# A timer of the store may ring so much early by this clock, since the two differ in
-# rounding. A proof that is 5 ms older than it might be.
+# How early a timer of the store may fire by this clock, because of rounding.
 _TIMER_SLACK_MS = 5.0
-# How fast two steady clocks may drift apart: Linux lets each be slewed by 500 parts in
-# a million (adjtimex(2)).
-_DRIFT = 1e-3
-# Bounds that contradict each other for so long tell that a clock stood still or jumped.
-# For a shorter time answers may come from a copy that lags.
-_CONTRADICTED_MS = 30_000.0
+# How fast two monotonic clocks may drift apart: Linux lets each be slewed by 500 parts
+# in a million (adjtimex(2)).
+_MAX_DRIFT = 1e-3
+# Bounds that contradict each other for longer mean that a clock stopped or jumped; for
+# less, a lagging replica may have responded.
+_MAX_CONTRADICTION_MS = 30_000.0
 
 
 def proven_moment_ms(sent_ms: float, received_ms: float, held_ms: float) -> float:
-    """The latest moment that an answer surely proves.
+    """The latest local time at which a store response confirms the state.
 
-    A reading sent at ``sent_ms`` proves that moment. One that the store was asked to
-    hold for ``held_ms`` until something changes, and whose empty answer came no
-    earlier, proves the end of that time as well.
+    A read confirms the state at ``sent_ms``. A long poll that the store was asked to
+    hold for ``held_ms``, and whose empty response came no earlier, confirms the state
+    at the end of the hold. ``held_ms`` is 0 for a response with changes.
     """
     if held_ms and received_ms - sent_ms >= held_ms - _TIMER_SLACK_MS:
         return sent_ms + held_ms - _TIMER_SLACK_MS
@@ -38,77 +37,83 @@
 
 @define
 class StoreClock:
-    """Relates the store's steady clock to this process's.
-
-    An answer is made after its question was sent and before it was received, so each
-    one bounds the difference of the clocks from both sides. The closest bounds hold for
-    all answers; they widen with time, since the clocks drift. One whose store time lies
-    further back than its own sending and receiving tell was held up on the way, or was
-    read from a copy that lags. When the bounds contradict each other for long, one of
-    the clocks has stood still or jumped, and both are taken anew.
+    """Bounds on the offset of this process's monotonic clock from the store's.
+
+    A response is made after its request was sent and before it was received, so each
+    one bounds the offset from both sides. The closest bounds are kept, and widened with
+    time, since the clocks drift. They show when a response was delayed on the way or
+    came from a lagging replica. Bounds that contradict each other for long mean that a
+    clock stopped or jumped, and are reset.
     """
 
-    _least_offset_ms: float = math.inf
-    _most_offset_ms: float = -math.inf
-    _looked_ms: float = 0.0
-    _agreed_ms: float = 0.0
+    _max_offset_ms: float = math.inf
+    _min_offset_ms: float = -math.inf
+    _bounds_ms: float = 0.0
+    _consistent_ms: float = 0.0
     _era: int = 0
 
     def latest_ms(self, era: int, store_ms: float, received_ms: float) -> float:
-        """The local time at which the store made an answer, at the latest."""
-        self._look(era, received_ms)
-        self._least_offset_ms = min(self._least_offset_ms, received_ms - store_ms)
-        return store_ms + self._least_offset_ms
+        """The latest local time at which the store can have made a response.
+
+        ``store_ms`` is the store's time in it, ``era`` the store's.
+        """
+        self._update_bounds(era, received_ms)
+        self._max_offset_ms = min(self._max_offset_ms, received_ms - store_ms)
+        return store_ms + self._max_offset_ms
 
     def earliest_ms(self, era: int, store_ms: float, sent_ms: float) -> float:
-        """The local time at which the store made an answer, at the earliest."""
-        self._look(era, sent_ms)
-        self._most_offset_ms = max(self._most_offset_ms, sent_ms - store_ms)
-        return store_ms + self._most_offset_ms
-
-    def _look(self, era: int, now_ms: float) -> None:
-        """Widen the bounds; a store that came back from a copy has another clock."""
-        drift_ms = _DRIFT * max(0.0, now_ms - self._looked_ms)
-        self._looked_ms = max(self._looked_ms, now_ms)
-        self._least_offset_ms += drift_ms
-        self._most_offset_ms -= drift_ms
-        if self._most_offset_ms <= self._least_offset_ms:
-            self._agreed_ms = self._looked_ms
-        contradicted_ms = self._looked_ms - self._agreed_ms
-        if era > self._era or contradicted_ms > _CONTRADICTED_MS:
-            self._era, self._agreed_ms = max(era, self._era), self._looked_ms
-            self._least_offset_ms, self._most_offset_ms = math.inf, -math.inf
+        """The earliest local time at which the store can have made a response."""
+        self._update_bounds(era, sent_ms)
+        self._min_offset_ms = max(self._min_offset_ms, sent_ms - store_ms)
+        return store_ms + self._min_offset_ms
+
+    def _update_bounds(self, era: int, now_ms: float) -> None:
+        """Widen the bounds by the drift.
+
+        Resets them in a new era, in which the store may have another clock, and after a
+        long contradiction.
+        """
+        drift_ms = _MAX_DRIFT * max(0.0, now_ms - self._bounds_ms)
+        self._bounds_ms = max(self._bounds_ms, now_ms)
+        self._max_offset_ms += drift_ms
+        self._min_offset_ms -= drift_ms
+        if self._min_offset_ms <= self._max_offset_ms:
+            self._consistent_ms = self._bounds_ms
+        contradicted_ms = self._bounds_ms - self._consistent_ms
+        if era > self._era or contradicted_ms > _MAX_CONTRADICTION_MS:
+            self._era, self._consistent_ms = max(era, self._era), self._bounds_ms
+            self._max_offset_ms, self._min_offset_ms = math.inf, -math.inf
 
 
 @define
 class Freshness:
-    """The last proven moment of each table that this instance follows."""
+    """The last confirmed time of each table that this instance follows."""
 
-    _proven_ms: dict[str, float] = field(factory=dict)
+    _confirmed_ms: dict[str, float] = field(factory=dict)
 
     def proved(self, table: str, moment_ms: float) -> None:
-        """An answer proved the table's state at a moment."""
-        if moment_ms > self._proven_ms.get(table, -math.inf):
-            self._proven_ms[table] = moment_ms
+        """Record that a response confirmed the table's state at ``moment_ms``."""
+        if moment_ms > self._confirmed_ms.get(table, -math.inf):
+            self._confirmed_ms[table] = moment_ms
 
     def withdrawn(self, table: str, before_ms: float) -> None:
-        """The last proof counts no more; the moment proven before it does."""
-        self._proven_ms[table] = before_ms
+        """Undo the last confirmation; ``before_ms`` is the time confirmed before it."""
+        self._confirmed_ms[table] = before_ms
 
     def age_ms(self, table: str, now_ms: float) -> float:
-        """How long ago the last proven moment was; infinite if there is none."""
+        """The time since the last confirmed time; infinite if there is none."""
         return now_ms - self.proven_ms(table)
 
     def proven_ms(self, table: str) -> float:
-        """The last proven moment; minus infinity if there is none."""
-        return self._proven_ms.get(table, -math.inf)
+        """The last confirmed time; minus infinity if there is none."""
+        return self._confirmed_ms.get(table, -math.inf)
 
 
 @frozen
 class Belief:
-    """What routes and keys are taken from: a version, and the age of its last proof.
+    """The cached configuration: its version, and the age of its last confirmation.
 
-    ``age_ms`` is infinite, and ``version`` -1, before anything is known.
+    Before the first read ``version`` is -1 and ``age_ms`` infinite.
     """
 
     version: int = -1
--- a/src/coursekeel/forwarding/_model.py
+++ b/src/coursekeel/forwarding/_model.py
@@ -1,4 +1,4 @@
-"""What a gateway is configured with: routes, pools of endpoints, teams and limits."""
+"""Configuration of a gateway: routes, pools of endpoints, teams and limits."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -20,16 +20,16 @@
     "key_digest",
 ]
 
-# Two keys of a site never share a digest of this length.
+# Long enough that no two keys of a site share a digest.
 _DIGEST_BYTES = 16
 
 
 class RouteKind(Enum):
-    """What may be done again with a route's requests.
+    """Whether a route's requests may be retried, and whether they stream.
 
     A ``REPEATABLE`` request may run more than once, a ``SINGLE`` one at most once. A
-    ``RESUMABLE`` answer is a stream of numbered events that another endpoint can take
-    up after any of them; a ``STREAM`` can't be taken up, and runs at most once.
+    ``RESUMABLE`` answer is a stream of numbered events that another endpoint can
+    continue after any of them; a ``STREAM`` can't be continued, and runs at most once.
     """
 
     REPEATABLE = "repeatable"
@@ -39,18 +39,18 @@
 
     @property
     def streams(self) -> bool:
-        """Say whether answers are event streams."""
+        """Whether answers are event streams."""
         return self in (RouteKind.STREAM, RouteKind.RESUMABLE)
 
     @property
     def idempotent(self) -> bool:
-        """Say whether a second run does no harm."""
+        """Whether a request may run more than once."""
         return self in (RouteKind.REPEATABLE, RouteKind.RESUMABLE)
 
 
 @frozen
 class PoolShare:
-    """A pool that a route sends to, with its weight among the route's pools."""
+    """A pool of a route, with its weight among the route's pools."""
 
     pool: str
     weight: float = 1.0
@@ -58,11 +58,12 @@
 
 @frozen
 class Route:
-    """Requests of one host below one path prefix, and what is asked of them.
+    """A route: one host and path prefix, and how its requests are served.
 
-    ``tries`` bounds the endpoints that are sent one request. ``timeout_ms`` is the time
-    for the whole answer; ``target_ms`` is the latency that operators aim at, from which
-    it follows how long a request may wait for an endpoint. ``rank`` 0 goes first.
+    ``tries`` is the most endpoints that one request is sent to. ``timeout_ms`` bounds
+    the whole answer. ``target_ms`` is the latency that operators aim at; it determines
+    how long a request may wait for an endpoint. ``rank`` 0 goes first. ``anonymous``
+    requests need no key.
     """
 
     name: str
@@ -78,19 +79,19 @@
 
     def pick_pool(self, random: Random) -> str:
         """Choose one of the route's pools by weight; empty if it has none."""
-        usable = [each for each in self.pools if each.weight > 0]
+        usable = [share for share in self.pools if share.weight > 0]
         if not usable:
             return ""
-        weights = [each.weight for each in usable]
+        weights = [share.weight for share in usable]
         return random.choices(usable, weights)[0].pool
 
 
 @frozen
 class Pool:
-    """Endpoints that are alike.
+    """A pool of interchangeable endpoints.
 
-    ``copies`` says whether they keep copies of runs; ``models`` are those that all of
-    them serve, none for plain services.
+    ``copies`` is set if they keep copies of runs. ``models`` are those that each of
+    them serves; empty for plain services.
     """
 
     name: str
@@ -100,7 +101,7 @@
 
 @frozen
 class Team:
-    """A team, the digests of its keys and its rank (0 goes first)."""
+    """A team, the digests of its keys, and its rank (0 goes first)."""
 
     name: str
     keys: tuple[str, ...] = ()
@@ -109,9 +110,9 @@
 
 @frozen
 class RequestLimits:
-    """Bounds on what a caller may send, and on how long it may idle.
+    """Bounds on a caller's requests and on the idle time of its connection.
 
-    The defaults hold until a configuration is known.
+    The defaults apply until a configuration is read.
     """
 
     header_bytes: int = 16_384
@@ -121,7 +122,10 @@
 
 @frozen
 class ForwardingConfiguration:
-    """Everything that operators say of forwarding, as of one version."""
+    """One version of the forwarding configuration.
+
+    ``keyed`` is set if requests need a key.
+    """
 
     version: int = 0
     routes: tuple[Route, ...] = ()
@@ -133,9 +137,10 @@
 
 @frozen
 class EndpointRecord:
-    """One incarnation of an endpoint, as the list of endpoints tells of it.
+    """One incarnation of an endpoint, as the store lists it.
 
-    ``version`` is of its software, empty if it doesn't say.
+    ``slots`` is how many requests it works on at once, 0 if unknown; ``version`` is
+    that of its software, empty if unknown. A ``leaving`` one takes no new work.
     """
 
     endpoint_id: str
@@ -149,20 +154,20 @@
 
     @property
     def address(self) -> str:
-        """Host and port in one text."""
+        """``host:port``."""
         return f"{self.host}:{self.port}"
 
 
 def key_digest(key: str) -> str:
-    """What is kept and passed on of a key: enough to know it again."""
+    """The digest by which a key is stored, sent and compared."""
     return blake2b(key.encode(), digest_size=_DIGEST_BYTES).hexdigest()
 
 
 class RouteTable:
-    """Looks routes and keys up; made once for each configuration.
+    """Index of routes and keys, built once for each configuration.
 
-    A path is looked up by its own prefixes, so the cost is that of its depth and not
-    of the number of routes.
+    A path is looked up by its own prefixes, so that the cost depends on its depth and
+    not on the number of routes.
     """
 
     def __init__(self, configuration: ForwardingConfiguration) -> None:
@@ -175,7 +180,7 @@
         self._keys = dict(_keys(configuration.teams))
 
     def route(self, host: str, path: str) -> Route | None:
-        """The route of the host whose prefix of the path is the longest."""
+        """The host's route with the longest matching prefix; None without a match."""
         prefixes = self._hosts.get(host.lower())
         if prefixes is None:
             return None
@@ -187,12 +192,12 @@
         return None
 
     def team(self, key: str) -> Team | None:
-        """The team that holds a key, which is given as its caller sent it."""
+        """The team of a key, which is passed in clear; None if it is unknown."""
         return self._keys.get(key_digest(key))
 
     def pools_serving(self, models: frozenset[str]) -> list[str]:
-        """The names of the pools whose endpoints serve one of these models."""
-        return [each.name for each in self.pools.values() if each.models & models]
+        """The names of the pools that serve at least one of these models."""
+        return [pool.name for pool in self.pools.values() if pool.models & models]
 
 
 def _keys(teams: Iterable[Team]) -> Iterable[tuple[str, Team]]:
--- a/src/coursekeel/forwarding/_moment.py
+++ b/src/coursekeel/forwarding/_moment.py
@@ -1,10 +1,10 @@
-"""A moment of the store: which of its lives, and how far that had come.
+"""Store position: a version of the store's data, and the era that it belongs to.
 
-Rule: a store that comes back from an older copy gives versions out again, so that a
-version says nothing without its era. A later era's moments are later than all of an
-earlier one's; what is known as of an earlier era is read again before it is built on.
+Rule: a store that is restored from an older copy issues the same versions again, so
+that only era and version together identify its state. Positions are ordered by era
+first. Data read in an earlier era is read again before it is used.
 
-Owns nothing. A core.
+A core.
 """
 
 from attrs import frozen
@@ -14,9 +14,9 @@
 
 @frozen(order=True)
 class StoreMoment:
-    """``version`` rises within ``era``, which rises each time a copy is restored.
+    """``version`` grows within ``era``, which grows with each restore from a copy.
 
-    A store that names no era has the first one, 0.
+    A store that reports no era has era 0.
     """
 
     era: int = 0
@@ -27,7 +27,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "StoreMoment":
-        """Read what `str` gives; raises `ValueError`."""
+        """Parse the result of `str`; raises `ValueError`."""
         era, _, version = text.partition(".")
         if not (era.isascii() and era.isdigit()):
             raise ValueError(f"got {text!r}, expected ERA.VERSION")
