--- a/src/coursekeel/membership/__init__.py
+++ b/src/coursekeel/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Live instances: their leases, what they tell each other, and being cut off."""
+"""Membership: leases, greetings among entries, isolation, store outages."""
 
 from coursekeel.membership._isolation import Isolation
 from coursekeel.membership._lease import GroupLease, LapseWatch, LeaseTerms
--- a/src/coursekeel/membership/_isolation.py
+++ b/src/coursekeel/membership/_isolation.py
@@ -1,4 +1,4 @@
-"""Know when this instance is cut off from everybody."""
+"""Detection that this instance is cut off from the platform and from all peers."""
 
 from attrs import define
 
@@ -7,19 +7,19 @@
 
 @define
 class Isolation:
-    """An instance that reaches neither the platform nor a peer takes no new work.
+    """Isolated after ``limit_ms`` without a response from the platform or a peer.
 
-    A group that still sees its peers serves on: a minority that stopped itself would
-    refuse a whole region's callers whenever regions lose each other.
+    An isolated instance takes no new work. A reachable peer is enough: otherwise a
+    partition between regions would stop every region without the platform.
     """
 
     limit_ms: float
     _reached_ms: float = float("-inf")
 
     def reached(self, asked_ms: float) -> None:
-        """The platform or a peer answered what was asked at ``asked_ms``."""
+        """Record that the platform or a peer responded to a request of ``asked_ms``."""
         self._reached_ms = max(self._reached_ms, asked_ms)
 
     def isolated(self, now_ms: float) -> bool:
-        """Say whether nobody was reached for too long, a pause of ours included."""
+        """Whether the last response is too old; a pause of this process counts."""
         return now_ms - self._reached_ms > self.limit_ms
--- a/src/coursekeel/membership/_lease.py
+++ b/src/coursekeel/membership/_lease.py
@@ -1,8 +1,8 @@
-"""Leases in the table, judged by local monotonic time only.
+"""Leases in the store, timed by local monotonic clocks only.
 
-A holder counts its lease from the moment before it asked for it, a watcher counts a
-lapse only over time in which it saw the store answer. So the holder stops first, and a
-store outage doesn't make every lease look lapsed when it ends.
+Rule: a holder counts its lease from before it sent the request for it; a watcher counts
+only time in which it read the lease unchanged. So the holder stops first, and the end
+of a store outage doesn't make every lease look lapsed.
 """
 
 from typing import Any
@@ -27,7 +27,7 @@
 class LeaseTerms:
     """How long a lease lasts, and how much longer a successor waits.
 
-    ``margin_ms`` covers the slowest order that a holder may still have under way.
+    ``margin_ms`` covers the slowest order that a holder may still have in flight.
     """
 
     length_ms: float
@@ -43,10 +43,10 @@
 
 @define
 class LapseWatch:
-    """Sees from repeated reads which leases are no longer renewed.
+    """Detects from repeated reads which leases are no longer renewed.
 
-    ``step_ms`` is the usual time between reads; a longer gap counts as one step only,
-    since the store, or this process, may have been away in it.
+    ``step_ms`` is the usual time between reads. A longer gap counts as two steps at
+    most, since the store or this process may have been stopped meanwhile.
     """
 
     terms: LeaseTerms
@@ -54,7 +54,7 @@
     _watched: dict[str, _Watched] = field(factory=dict)
 
     def saw(self, key: str, version: int, now_ms: float) -> None:
-        """A read showed this version of the lease's row."""
+        """Record the version of the lease's row that a read returned."""
         watched = self._watched.get(key)
         if watched is None or watched.version != version:
             self._watched[key] = _Watched(version, 0.0, now_ms)
@@ -63,7 +63,7 @@
         watched.read_ms = now_ms
 
     def lapsed(self, key: str) -> bool:
-        """Say whether the lease went unrenewed for its whole length and margin."""
+        """Whether the lease wasn't renewed for its length and margin."""
         watched = self._watched.get(key)
         if watched is None:
             return False
@@ -76,9 +76,11 @@
 
 @define
 class GroupLease:
-    """One instance's claim to a lease row, taken and renewed by compare-and-set.
+    """One instance's lease on a row, acquired and renewed by compare-and-set.
 
-    ``epoch`` grows with each new holding and fences what is done under it.
+    `take` and `renew` build transactions; the caller sends them and passes the outcome
+    to `answered`. ``epoch`` grows each time that the lease is acquired, and fences what
+    is done under it. ``version`` is that of the row.
     """
 
     key: str
@@ -93,41 +95,41 @@
 
     @property
     def state(self) -> str:
-        """Where the lease stands in its chart."""
+        """The state in the chart: ``free``, ``held`` or ``unsure``."""
         return self._machine.state
 
     def surely_held(self, now_ms: float, need_ms: float = 0.0) -> bool:
-        """Say whether the lease lasts for ``need_ms`` more, whatever others think."""
+        """Whether the lease surely lasts for ``need_ms`` more."""
         return self._machine.state == "held" and now_ms + need_ms < self.held_until_ms
 
     def take(self, row: Row | None, now_ms: float) -> Transaction:
-        """Ask for a free or lapsed lease; ``row`` is what the table holds."""
-        known_epoch = row.value["epoch"] if row else 0
-        self._asked_epoch = known_epoch + 1
-        return self._ask(row.version if row else 0, now_ms)
+        """Acquire a free or lapsed lease; ``row`` is its row, None if there is none."""
+        last_epoch = row.value["epoch"] if row else 0
+        self._asked_epoch = last_epoch + 1
+        return self._write(row.version if row else 0, now_ms)
 
     def renew(self, now_ms: float) -> Transaction:
-        """Ask for the lease that is held to go on."""
+        """Renew the lease that is held."""
         self._asked_epoch = self.epoch
-        return self._ask(self.version, now_ms)
+        return self._write(self.version, now_ms)
 
-    def _ask(self, version: int, now_ms: float) -> Transaction:
+    def _write(self, version: int, now_ms: float) -> Transaction:
         self._asked_ms = now_ms
         value = {"holder": self.holder, "epoch": self._asked_epoch, "free": False}
         return Transaction({self.key: version}, {self.key: value})
 
     def hand_back(self) -> Transaction:
-        """Free the lease before its time, so that a successor need not wait."""
+        """Release the lease early, so that a successor need not wait."""
         value = {"holder": self.holder, "epoch": self.epoch, "free": True}
         self._machine.feed("handed_back" if self.state != "free" else "refused")
         self.held_until_ms = float("-inf")
         return Transaction({self.key: self.version}, {self.key: value})
 
     def answered(self, outcome: TransactOutcome) -> None:
-        """Take the table's answer to the last request."""
+        """Apply the outcome of the last transaction."""
         match outcome:
             case Committed():
-                self._taken(outcome.versions[self.key])
+                self._acquired(outcome.versions[self.key])
             case Conflict():
                 self._conflicted(outcome.rows.get(self.key))
             case Unsure():
@@ -135,23 +137,23 @@
             case Unavailable():
                 self._machine.feed("refused" if self.state == "free" else "unsure")
 
-    def _taken(self, version: int) -> None:
+    def _acquired(self, version: int) -> None:
         self._machine.feed("renewed" if self.state == "held" else "taken")
         self.version = version
         self.epoch = self._asked_epoch
         self.held_until_ms = self._asked_ms + self.terms.length_ms
 
     def _conflicted(self, row: Row | None) -> None:
-        """Another write came first; it may have been this instance's own."""
-        if row is not None and self._own(row.value):
+        """Handle a conflicting write, which may be this instance's own."""
+        if row is not None and self._is_own(row.value):
             self._machine.feed("renewed" if self.state == "held" else "taken")
             self.version = row.version
             self.epoch = row.value["epoch"]
-            # When that write was asked for is no longer known: trust none of it.
+            # The time of that request is unknown, so the lease counts as run out.
             self.held_until_ms = float("-inf")
             return
         self._machine.feed("refused" if self.state == "free" else "lost")
         self.held_until_ms = float("-inf")
 
-    def _own(self, value: dict[str, Any]) -> bool:
+    def _is_own(self, value: dict[str, Any]) -> bool:
         return value["holder"] == self.holder and not value["free"]
--- a/src/coursekeel/membership/_outage.py
+++ b/src/coursekeel/membership/_outage.py
@@ -1,8 +1,8 @@
-"""Know whether this process was awake all along, so that an outage proves something.
+"""Detection of pauses of this process, which make a store outage inconclusive.
 
-While the table is out for all nobody can take anything over. That holds only for time
-in which this process saw it being out: what happened while the process was paused,
-nobody here knows.
+While the store is down for everybody, no instance can adopt anything. This process can
+rely on that only for time in which it ran and saw the store down: during a pause the
+store may have been up.
 """
 
 from attrs import define
@@ -12,29 +12,29 @@
 
 @define
 class OutageWatch:
-    """Sees gaps in the life of this process; `awake` is told oftener than ``gap_ms``.
+    """Detects pauses longer than ``gap_ms``; `awake` is called more often than that.
 
-    Rule for the gap: half a lease. A lease is renewed within six tenths of its length,
-    and a watcher waits out its length and margin after that, so a pause that others can
-    have used is longer. Guards against: an owner that wakes takes its first failed call
-    for an outage and speaks for what was adopted in its pause.
+    ``gap_ms`` is half a lease: no shorter pause lets a lease lapse, as it is renewed
+    within six tenths of its length. Guards against an owner that resumes after a pause,
+    takes its first failed call for an outage, and goes on with answers that another
+    instance adopted meanwhile.
     """
 
     gap_ms: float
-    _seen_ms: float | None = None
-    _unseen: bool = False
+    _awake_ms: float | None = None
+    _paused: bool = False
 
     def awake(self, now_ms: float) -> None:
-        """This process runs now."""
-        if self._seen_ms is not None and now_ms - self._seen_ms > self.gap_ms:
-            self._unseen = True
-        self._seen_ms = now_ms
+        """Record that this process runs at ``now_ms``."""
+        if self._awake_ms is not None and now_ms - self._awake_ms > self.gap_ms:
+            self._paused = True
+        self._awake_ms = now_ms
 
     def proven(self) -> None:
-        """The table itself said who holds what: whatever went unseen is settled."""
-        self._unseen = False
+        """Record that the store confirmed the owners; earlier pauses are settled."""
+        self._paused = False
 
     @property
     def outage_counts(self) -> bool:
-        """Say whether a table that can't be reached was watched without a gap."""
-        return not self._unseen
+        """Whether an outage of the store is conclusive: no pause since `proven`."""
+        return not self._paused
--- a/src/coursekeel/membership/_peers.py
+++ b/src/coursekeel/membership/_peers.py
@@ -1,7 +1,7 @@
-"""What entries tell each other, within a byte budget that doesn't grow with them.
+"""Greetings, by which entries exchange their state.
 
-An entry tells its own state and no one else's, to a few peers chosen at random, so
-the bytes a node spends depend on the fan-out and not on the number of nodes.
+Rule: an entry sends its own state only, to a few random peers each round, so that its
+traffic depends on the fan-out and not on the number of entries.
 """
 
 from random import Random
@@ -15,9 +15,9 @@
 
 @frozen
 class Greeting:
-    """One entry's own state, as it tells it.
+    """One entry's state, as it sends it.
 
-    ``suspects_digest`` is the same at all that know the same of suspect requests.
+    ``suspects_digest`` is equal at entries with the same suspect records.
     """
 
     instance_id: str
@@ -38,7 +38,10 @@
 
 @define
 class PeerBook:
-    """The other entries: who is listed, what they said, and whom to tell next."""
+    """The other entries: their addresses, last greetings, and which to greet next.
+
+    Owns these; the caller sends the greetings, to ``fan_out`` peers a round.
+    """
 
     instance_id: str
     random: Random
@@ -46,57 +49,60 @@
     _peers: dict[str, _Peer] = field(factory=dict)
 
     def listed(self, addresses: dict[str, str]) -> None:
-        """Take the platform's list; those it drops are out."""
-        wanted = {k: v for k, v in addresses.items() if k != self.instance_id}
-        kept = {k: peer for k, peer in self._peers.items() if k in wanted}
-        for instance_id, address in wanted.items():
+        """Apply the platform's list of addresses by id; others are removed."""
+        others = {k: v for k, v in addresses.items() if k != self.instance_id}
+        kept = {k: peer for k, peer in self._peers.items() if k in others}
+        for instance_id, address in others.items():
             peer = kept.setdefault(instance_id, _Peer())
             peer.address = address
         self._peers = kept
 
     def learned(self, instance_id: str, address: str) -> None:
-        """The table names a peer that the list may not name yet."""
+        """Add a peer, or set its address, from the store's rows."""
         if instance_id != self.instance_id:
             self._peers.setdefault(instance_id, _Peer()).address = address
 
     def heard(self, greeting: Greeting) -> None:
-        """Take a peer's word; its word of an older configuration changes nothing."""
+        """Store a received greeting.
+
+        One of the same incarnation with an older configuration is ignored.
+        """
         peer = self._peers.setdefault(greeting.instance_id, _Peer())
-        known = peer.greeting
-        same_life = known is not None and known.incarnation == greeting.incarnation
-        if same_life and known and greeting.applied_revision < known.applied_revision:
+        last = peer.greeting
+        same_process = last is not None and last.incarnation == greeting.incarnation
+        if same_process and last and greeting.applied_revision < last.applied_revision:
             return
         peer.greeting = greeting
         peer.refused = False
 
     def refused(self, instance_id: str) -> None:
-        """The peer's address refused the connection: it serves nobody now."""
+        """Record that the peer's address refused a connection: it doesn't run."""
         peer = self._peers.get(instance_id)
         if peer is not None:
             peer.refused = True
             peer.greeting = None
 
     def to_tell(self) -> list[str]:
-        """The peers to greet this time."""
-        known = [name for name, peer in self._peers.items() if peer.address]
-        return self.random.sample(known, min(self.fan_out, len(known)))
+        """The peers to greet in this round, chosen at random."""
+        reachable = [name for name, peer in self._peers.items() if peer.address]
+        return self.random.sample(reachable, min(self.fan_out, len(reachable)))
 
     def address(self, instance_id: str) -> str:
-        """Where a peer is reached; empty if it isn't known."""
+        """The peer's address; empty if it is unknown."""
         peer = self._peers.get(instance_id)
         return peer.address if peer else ""
 
     def is_refusing(self, instance_id: str) -> bool:
-        """Say whether the peer's address last refused a connection."""
+        """Whether the peer's address refused a connection since its last greeting."""
         peer = self._peers.get(instance_id)
         return peer is not None and peer.refused
 
     def greeting(self, instance_id: str) -> Greeting | None:
-        """The peer's last word."""
+        """The peer's last greeting; None if there is none."""
         peer = self._peers.get(instance_id)
         return peer.greeting if peer else None
 
     @property
     def names(self) -> list[str]:
-        """Every peer that is known."""
+        """The ids of all peers."""
         return sorted(self._peers)
