--- a/tests/common/engine_fleet.py
+++ b/tests/common/engine_fleet.py
@@ -1,9 +1,9 @@
-"""A fleet of engines under load, on one clock: many instances place streams on them.
+"""Simulation of many instances that place streams on a fleet of engines.
 
-Each instance has a `Router` of its own, asks a few engines for their load as
-`StreamPlacement` does, and knows nothing of what the others sent but by those reports,
-which are some hundred ms old. An engine reads one prompt after the other; beside a
-prompt the runs there stand nearly still.
+Each instance has its own `Router`, and queries a few engines for their load as
+`StreamPlacement` does; these reports, `REPORT_AGE_MS` old, are all it learns of the
+other instances' runs. An engine prefills one prompt at a time, which slows its other
+runs down.
 """
 
 from random import Random
@@ -20,11 +20,11 @@
 
 @define(eq=False)
 class Run:
-    """One stream at an engine; times in ms, tokens still to be read, events to come."""
+    """One stream at an engine: times in ms, prompt tokens and events still to come."""
 
-    asked_ms: float
+    arrived_ms: float
     instance: int
-    unread_tokens: float
+    prefill_tokens: float
     events: float = 140.0
     first_ms: float | None = None
     ended_ms: float | None = None
@@ -32,7 +32,7 @@
 
 @define(eq=False)
 class Engine:
-    """Reads 8 tokens a ms; an event takes 33 ms, and longer beside others."""
+    """Prefills 8 tokens per ms; an event takes 33 ms, and longer during a prefill."""
 
     name: str
     slots: int = 8
@@ -40,36 +40,36 @@
     reports: list[tuple[float, int, int]] = field(factory=list)
 
     def step(self, now_ms: float) -> list[Run]:
-        """Work for a step; gives the runs that ended."""
-        reading = next((each for each in self.runs if each.unread_tokens > 0), None)
-        if reading is not None:
-            reading.unread_tokens -= 8 * STEP_MS
-        slow = 0.17 if reading is not None else 1.0
-        for each in self.runs:
-            if each.unread_tokens <= 0:
-                if each.first_ms is None:
-                    each.first_ms = now_ms
-                each.events -= slow * STEP_MS / 33
-        ended = [each for each in self.runs if each.events <= 0]
-        for each in ended:
-            each.ended_ms = now_ms
-            self.runs.remove(each)
-        unread = sum(each.unread_tokens > 0 for each in self.runs)
-        self.reports.append((now_ms, len(self.runs), unread))
-        return ended
+        """Work for `STEP_MS` until ``now_ms``; returns the runs that finished."""
+        in_prefill = next((run for run in self.runs if run.prefill_tokens > 0), None)
+        if in_prefill is not None:
+            in_prefill.prefill_tokens -= 8 * STEP_MS
+        speed = 0.17 if in_prefill is not None else 1.0
+        for run in self.runs:
+            if run.prefill_tokens <= 0:
+                if run.first_ms is None:
+                    run.first_ms = now_ms
+                run.events -= speed * STEP_MS / 33
+        finished = [run for run in self.runs if run.events <= 0]
+        for run in finished:
+            run.ended_ms = now_ms
+            self.runs.remove(run)
+        prefilling = sum(run.prefill_tokens > 0 for run in self.runs)
+        self.reports.append((now_ms, len(self.runs), prefilling))
+        return finished
 
     def report(self, now_ms: float) -> LoadReport:
-        """What it says of itself, as it was a moment before."""
-        seen = [each for each in self.reports if each[0] <= now_ms - REPORT_AGE_MS]
-        _, running, unread = seen[-1] if seen else (0.0, 0, 0)
+        """The load report as of `REPORT_AGE_MS` ago."""
+        due = [report for report in self.reports if report[0] <= now_ms - REPORT_AGE_MS]
+        _, running, prefilling = due[-1] if due else (0.0, 0, 0)
         queued = max(0, running - self.slots)
         return LoadReport(
-            self.name, running - queued, queued, self.slots, now_ms, unread, 80_000
+            self.name, running - queued, queued, self.slots, now_ms, prefilling, 80_000
         )
 
 
 class Fleet:
-    """Instances and engines; ``asked`` engines are asked for each stream."""
+    """Instances and engines; an instance queries ``asked`` engines per stream."""
 
     def __init__(self, instances: int, engines: int, asked: int, seed: int) -> None:
         self.random = Random(seed)
@@ -85,12 +85,12 @@
     def _router(self, number: int, zones: dict[str, str]) -> Router:
         random = Random(self.random.random())
         router = Router(f"z{number % ZONES}", random, lambda _name, _now_ms: True)
-        slots = {name: each.slots for name, each in self.engines.items()}
+        slots = {name: engine.slots for name, engine in self.engines.items()}
         router.endpoints.configure({POOL: list(self.engines)}, zones, slots)
         return router
 
-    def play(self, per_s: float, for_ms: float, prompt_tokens: int = 8_200) -> None:
-        """Streams come by lot at instances by lot."""
+    def simulate(self, per_s: float, for_ms: float, prompt_tokens: int = 8_200) -> None:
+        """Simulate ``for_ms`` of random arrivals, ``per_s`` on average."""
         end_ms = self.now_ms + for_ms
         while self.now_ms < end_ms:
             self.now_ms += STEP_MS
@@ -98,7 +98,7 @@
                 self._arrive(prompt_tokens)
             for name, engine in self.engines.items():
                 for run in engine.step(self.now_ms):
-                    took_ms = self.now_ms - run.asked_ms
+                    took_ms = self.now_ms - run.arrived_ms
                     router = self.routers[run.instance]
                     router.released(name, took_ms, self.now_ms)
 
@@ -130,15 +130,15 @@
                 self.refused += 1
 
     def first_ms(self, share: float) -> float:
-        """So long, at the most, the given share of the streams waited to begin."""
+        """The quantile at ``share`` of the time to the first event."""
         waits = sorted(
-            each.first_ms - each.asked_ms
-            for each in self.runs
-            if each.first_ms is not None
+            run.first_ms - run.arrived_ms
+            for run in self.runs
+            if run.first_ms is not None
         )
         return waits[min(len(waits) - 1, int(share * len(waits)))]
 
     def took_ms(self) -> float:
-        """How long streams take in the mean."""
-        took = [e.ended_ms - e.asked_ms for e in self.runs if e.ended_ms is not None]
+        """The mean time from the arrival of a stream to its end."""
+        took = [r.ended_ms - r.arrived_ms for r in self.runs if r.ended_ms is not None]
         return sum(took) / len(took)
--- a/tests/common/moments.py
+++ b/tests/common/moments.py
@@ -1,4 +1,4 @@
-"""Moments of a store as tests write them."""
+"""Short notation of store positions for tests."""
 
 from coursekeel.forwarding import StoreMoment
 
@@ -6,5 +6,5 @@
 
 
 def at(version: int, era: int = 0) -> StoreMoment:
-    """The moment of a version."""
+    """The store position of a version in an era."""
     return StoreMoment(era, version)
--- a/tests/cover/test_peers.py
+++ b/tests/cover/test_peers.py
@@ -1,4 +1,4 @@
-"""A stop closes channels under greetings that are on their way."""
+"""Stopping an entry while greetings to its peers are pending."""
 
 import asyncio
 import socket
@@ -10,7 +10,7 @@
 from coursekeel.membership import Greeting
 
 
-def peers(address: str) -> PeersTask:
+def make_peers_task(address: str) -> PeersTask:
     return PeersTask(
         Mock(),
         Mock(now_ms=lambda: 0.0),
@@ -25,10 +25,10 @@
     )
 
 
-def test_a_greeting_on_its_way_does_not_fail_when_the_entry_stops():
-    """Seen once beside load: the round of greetings failed in an entry that stopped."""
-    with socket.create_server(("127.0.0.1", 0)) as silent:
-        task = peers(f"127.0.0.1:{silent.getsockname()[1]}")
+def test_stopping_cancels_a_pending_greeting_without_failure():
+    """Guards against a failed round of greetings in a stopping entry."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        task = make_peers_task(f"127.0.0.1:{listener.getsockname()[1]}")
 
         async def run() -> None:
             greeting = asyncio.ensure_future(task._greet("peer"))
