--- a/src/coursekeel/forwarding/_directory.py
+++ b/src/coursekeel/forwarding/_directory.py
@@ -42,7 +42,7 @@
 class EndpointDirectory:
     """Records by endpoint id, with the failures of this instance's requests there.
 
-    Each record has the store position that it is as of.
+    Each record is stored with the store position at which it was read.
     """
 
     _records: dict[str, EndpointRecord] = field(factory=dict)
@@ -54,7 +54,7 @@
     _delisted_ids: dict[str, None] = field(factory=dict)
 
     def put(self, record: EndpointRecord, position: StoreMoment) -> None:
-        """Store a record; one older than the stored one is ignored."""
+        """Store a record as of ``position``; an older one is ignored."""
         if position < self._position_of(record.endpoint_id):
             return
         self._positions[record.endpoint_id] = position
@@ -147,7 +147,7 @@
         return self._records.get(endpoint_id)
 
     def known(self, endpoint_id: str) -> tuple[EndpointRecord, StoreMoment]:
-        """A listed endpoint's record, and the store position that it is as of."""
+        """A listed endpoint's record, and the store position at which it was read."""
         return self._records[endpoint_id], self._position_of(endpoint_id)
 
     def at_address(self, address: str) -> EndpointRecord | None:
--- a/src/coursekeel/forwarding/_freshness.py
+++ b/src/coursekeel/forwarding/_freshness.py
@@ -17,7 +17,7 @@
 _TIMER_SLACK_MS = 5.0
 # How fast two monotonic clocks may drift apart: Linux lets each be slewed by 500 parts
 # in a million (adjtimex(2)).
-_MAX_DRIFT = 1e-3
+_MAX_DRIFT_RATIO = 1e-3
 # Bounds that contradict each other for longer mean that a clock stopped or jumped; for
 # less, a lagging replica may have responded.
 _MAX_CONTRADICTION_MS = 30_000.0
@@ -48,14 +48,14 @@
 
     _max_offset_ms: float = math.inf
     _min_offset_ms: float = -math.inf
-    _bounds_ms: float = 0.0
-    _consistent_ms: float = 0.0
+    _bounds_at_ms: float = 0.0
+    _consistent_at_ms: float = 0.0
     _era: int = 0
 
     def latest_ms(self, era: int, store_ms: float, received_ms: float) -> float:
         """The latest local time at which the store can have made a response.
 
-        ``store_ms`` is the store's time in it, ``era`` the store's.
+        ``store_ms`` is the store's own clock in the response.
         """
         self._update_bounds(era, received_ms)
         self._max_offset_ms = min(self._max_offset_ms, received_ms - store_ms)
@@ -73,15 +73,15 @@
         Resets them in a new era, in which the store may have another clock, and after a
         long contradiction.
         """
-        drift_ms = _MAX_DRIFT * max(0.0, now_ms - self._bounds_ms)
-        self._bounds_ms = max(self._bounds_ms, now_ms)
+        drift_ms = _MAX_DRIFT_RATIO * max(0.0, now_ms - self._bounds_at_ms)
+        self._bounds_at_ms = max(self._bounds_at_ms, now_ms)
         self._max_offset_ms += drift_ms
         self._min_offset_ms -= drift_ms
         if self._min_offset_ms <= self._max_offset_ms:
-            self._consistent_ms = self._bounds_ms
-        contradicted_ms = self._bounds_ms - self._consistent_ms
+            self._consistent_at_ms = self._bounds_at_ms
+        contradicted_ms = self._bounds_at_ms - self._consistent_at_ms
         if era > self._era or contradicted_ms > _MAX_CONTRADICTION_MS:
-            self._era, self._consistent_ms = max(era, self._era), self._bounds_ms
+            self._era, self._consistent_at_ms = max(era, self._era), self._bounds_at_ms
             self._max_offset_ms, self._min_offset_ms = math.inf, -math.inf
 
 
@@ -91,10 +91,10 @@
 
     _confirmed_ms: dict[str, float] = field(factory=dict)
 
-    def proved(self, table: str, moment_ms: float) -> None:
-        """Record that a response confirmed the table's state at ``moment_ms``."""
-        if moment_ms > self._confirmed_ms.get(table, -math.inf):
-            self._confirmed_ms[table] = moment_ms
+    def proved(self, table: str, confirmed_ms: float) -> None:
+        """Record that a response confirmed the table's state at ``confirmed_ms``."""
+        if confirmed_ms > self._confirmed_ms.get(table, -math.inf):
+            self._confirmed_ms[table] = confirmed_ms
 
     def withdrawn(self, table: str, before_ms: float) -> None:
         """Undo the last confirmation; ``before_ms`` is the time confirmed before it."""
--- a/src/coursekeel/routing/_limits.py
+++ b/src/coursekeel/routing/_limits.py
@@ -28,11 +28,12 @@
     """An additive-increase, multiplicative-decrease limit on one endpoint's runs.
 
     Instances don't coordinate their limits: each adapts its own. ``limit`` is the
-    current one, ``most`` its upper bound, ``running`` the runs that count against it.
+    current one, ``upper_bound`` the most that it may grow to, ``running`` the number of
+    runs that count against it.
     """
 
     limit: float = _INITIAL_LIMIT
-    most: float = _MAX_LIMIT
+    upper_bound: float = _MAX_LIMIT
     running: int = 0
     _next_shrink_ms: float = 0.0
 
@@ -52,9 +53,9 @@
 
     def bound(self, slots: int) -> None:
         """Bound the limit by the endpoint's slots; the first call sets it to them."""
-        first = self.most == _MAX_LIMIT
-        self.most = float(max(slots, 1))
-        self.limit = self.most if first else min(self.limit, self.most)
+        first = self.upper_bound == _MAX_LIMIT
+        self.upper_bound = float(max(slots, 1))
+        self.limit = self.upper_bound if first else min(self.limit, self.upper_bound)
 
     def started(self) -> None:
         """Count a run that was sent."""
@@ -67,7 +68,7 @@
     def succeeded(self) -> None:
         """Grow the limit after a success, if at least half of it is in use."""
         if self.running >= self.limit / 2:
-            self.limit = min(self.most, self.limit + 1 / max(self.limit, 1.0))
+            self.limit = min(self.upper_bound, self.limit + 1 / max(self.limit, 1.0))
 
     def refused(self, now_ms: float, hold_ms: float) -> None:
         """Shrink the limit after a refusal, at most once in ``hold_ms``."""
--- a/src/coursekeel/routing/_router.py
+++ b/src/coursekeel/routing/_router.py
@@ -103,7 +103,7 @@
         self._budgets = {
             name: budget
             for name, budget in self._budgets.items()
-            if shares.get(name) == budget.per_success
+            if shares.get(name) == budget.earned_per_success
         }
 
     # Requests.
--- a/tests/cover/test_forwarding.py
+++ b/tests/cover/test_forwarding.py
@@ -58,7 +58,7 @@
     )
 
 
-def test_route_lookup_ignores_the_case_of_the_host():
+def test_route_lookup_matches_the_host_ignoring_case():
     assert make_table("/x/").route("b.example", "/x/1") is None
     assert make_table("/x/").route("A.EXAMPLE", "/x/1") is not None
 
@@ -272,14 +272,14 @@
 )
 def test_each_event_is_accepted_once_and_in_order(offers):
     ledger = EventLedger()
-    taken = b""
+    accepted = b""
     for start, count in offers:
         numbers = list(range(start + 1, start + 1 + count))
         held = ledger.next_position
-        offer = ledger.offer(start, numbers, [event(each) for each in numbers])
+        offer = ledger.offer(start, numbers, [event(number) for number in numbers])
         assert (offer.kind is OfferKind.GAP) == (start > held)
-        taken += ledger.take()
-    assert taken == b"".join(event(each + 1) for each in range(ledger.next_position))
+        accepted += ledger.take()
+    assert accepted == b"".join(event(n + 1) for n in range(ledger.next_position))
 
 
 def test_a_ledger_resumes_after_the_callers_last_event():
@@ -291,14 +291,14 @@
 
 @given(st.integers(0, 6), st.data())
 def test_events_are_split_whole_whatever_the_chunks(count, data):
-    whole = b"".join(event(each) for each in range(count))
-    buffer, got = bytearray(), []
+    whole = b"".join(event(n) for n in range(count))
+    buffer, events = bytearray(), []
     while whole:
         cut = data.draw(st.integers(1, len(whole)))
         buffer += whole[:cut]
         whole = whole[cut:]
-        got += split_events(buffer)
-    assert got == [event(each) for each in range(count)]
+        events += split_events(buffer)
+    assert events == [event(n) for n in range(count)]
     assert not buffer
 
 
@@ -336,12 +336,12 @@
         for port, name in ((1, "lives"), (3, "leaves"), (4, "gone"))
     ]
     directory.restore(copy)
-    taking = [
-        each
-        for each in ("lives", "lacked", "leaves", "gone")
-        if directory.may_take(each, 0.0)
+    available = [
+        endpoint_id
+        for endpoint_id in ("lives", "lacked", "leaves", "gone")
+        if directory.may_take(endpoint_id, 0.0)
     ]
-    assert taking == ["lives", "lacked"]
+    assert available == ["lives", "lacked"]
     assert directory.settle() == ["lacked"]
 
 
--- a/tests/cover/test_routing.py
+++ b/tests/cover/test_routing.py
@@ -178,7 +178,7 @@
 
 
 def test_retries_come_from_successes_and_a_slow_refill():
-    budget = RetryBudget(per_success=0.5, reserve=2.0, refill_per_s=1.0)
+    budget = RetryBudget(earned_per_success=0.5, reserve=2.0, refill_per_s=1.0)
     spent = sum(budget.take(0.0) for _ in range(50))
     assert spent == 10
     budget.succeeded()
