--- a/src/coursekeel/routing/_router.py
+++ b/src/coursekeel/routing/_router.py
@@ -97,7 +97,7 @@
     def set_retry_shares(self, shares: dict[str, float]) -> None:
         """Set the part of a retry that one success earns, by class.
 
-        The budget of a class whose share changes starts again.
+        A budget is kept if ``shares`` has the same share for its class; others restart.
         """
         self._retry_shares = shares
         self._budgets = {
