--- a/src/coursekeel/gateway/admission/_admission.py
+++ b/src/coursekeel/gateway/admission/_admission.py
@@ -28,10 +28,10 @@
 __all__ = ["Admission", "Admitted", "Arrival", "admit"]
 
 _UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
-_TOO_OLD = GatewayRefusal(_UNAVAILABLE, "belief_old", ELSEWHERE_RETRY_MS)
+_STALE_CONFIGURATION = GatewayRefusal(_UNAVAILABLE, "belief_old", ELSEWHERE_RETRY_MS)
 _STOPPING = GatewayRefusal(_UNAVAILABLE, "stopping", ELSEWHERE_RETRY_MS)
 _NO_ROUTES = GatewayRefusal(_UNAVAILABLE, "no_configuration", NOT_YET_RETRY_MS)
-_NO_ROOM = GatewayRefusal(_UNAVAILABLE, "too_many_open", NOT_YET_RETRY_MS)
+_TOO_MANY_OPEN = GatewayRefusal(_UNAVAILABLE, "too_many_open", NOT_YET_RETRY_MS)
 _NO_ROUTE = GatewayRefusal(HTTPStatus.NOT_FOUND, "no_route")
 _UNKNOWN_KEY = GatewayRefusal(HTTPStatus.UNAUTHORIZED, "unknown_key")
 
@@ -74,37 +74,39 @@
     alone_in_zone: bool = False
 
     @property
-    def fresh_enough_to_deny(self) -> bool:
+    def may_report_unknown(self) -> bool:
         """Say whether what isn't known here can be called unknown."""
         return self.age_ms <= self.max_unknown_age_ms
 
 
-def admit(arrival: Arrival, given: Admission) -> Admitted | GatewayRefusal:
+def admit(arrival: Arrival, state: Admission) -> Admitted | GatewayRefusal:
     """Take a request, or say why not."""
-    if given.routes is None:
+    if state.routes is None:
         return _NO_ROUTES
-    if given.open_requests > given.max_open_requests:
-        return _NO_ROOM
-    route = given.routes.route(arrival.host, arrival.path)
+    if state.open_requests > state.max_open_requests:
+        return _TOO_MANY_OPEN
+    route = state.routes.route(arrival.host, arrival.path)
     if route is None:
-        return _NO_ROUTE if given.fresh_enough_to_deny else _TOO_OLD
-    if route.anonymous or not given.routes.configuration.keyed:
-        return _in_time(Admitted(route, None), given)
-    if given.age_ms > given.max_key_age_ms:
-        return _TOO_OLD
-    team = given.routes.team(arrival.key)
+        return _NO_ROUTE if state.may_report_unknown else _STALE_CONFIGURATION
+    if route.anonymous or not state.routes.configuration.keyed:
+        return _check_stop_window(Admitted(route, None), state)
+    if state.age_ms > state.max_key_age_ms:
+        return _STALE_CONFIGURATION
+    team = state.routes.team(arrival.key)
     if team is None:
-        return _UNKNOWN_KEY if given.fresh_enough_to_deny else _TOO_OLD
-    return _in_time(Admitted(route, team), given)
+        return _UNKNOWN_KEY if state.may_report_unknown else _STALE_CONFIGURATION
+    return _check_stop_window(Admitted(route, team), state)
 
 
-def _in_time(admitted: Admitted, given: Admission) -> Admitted | GatewayRefusal:
+def _check_stop_window(
+    admitted: Admitted, state: Admission
+) -> Admitted | GatewayRefusal:
     """A request that can't be answered before the end of a stop goes elsewhere."""
-    stop, route = given.stop, admitted.route
-    long_ms = given.lengths.long_ms(route.name)
-    if stop is None or stop.leaves_time_for(route, given.now_ms, long_ms):
+    stop, route = state.stop, admitted.route
+    upper_estimate_ms = state.lengths.upper_estimate_ms(route.name)
+    if stop is None or stop.has_time_for(route, state.now_ms, upper_estimate_ms):
         return admitted
-    if not given.alone_in_zone:
+    if not state.alone_in_zone:
         return _STOPPING
-    settled_ms = stop.settled_ms - given.now_ms
+    settled_ms = stop.settled_ms - state.now_ms
     return evolve(_STOPPING, retry_after_ms=max(settled_ms, ELSEWHERE_RETRY_MS))
--- a/src/coursekeel/gateway/admission/_queue_deadline.py
+++ b/src/coursekeel/gateway/admission/_queue_deadline.py
@@ -13,9 +13,9 @@
 __all__ = ["queue_deadline_ms"]
 
 # Of the route's latency aim.
-_QUEUED_SHARE = 0.25
+_QUEUE_SHARE_OF_TARGET = 0.25
 
 
 def queue_deadline_ms(call: AdmittedRequest, now_ms: float) -> float:
     """The moment after which the request is refused if it still waits."""
-    return min(call.due_ms, now_ms + _QUEUED_SHARE * call.route.target_ms)
+    return min(call.due_ms, now_ms + _QUEUE_SHARE_OF_TARGET * call.route.target_ms)
--- a/src/coursekeel/gateway/admission/_refusals.py
+++ b/src/coursekeel/gateway/admission/_refusals.py
@@ -59,18 +59,18 @@
 # and five quarters of it. Days on which all instances start while the store is away had
 # 0.637 in place of 0.597 with 0.3 and 1 s (four seeds; the share itself is chosen).
 _OUTAGE_SHARE = 0.1
-_OUTAGE_MOST_MS = 2_500.0  # see above
+_MAX_OUTAGE_WAIT_MS = 2_500.0  # see above
 _OUTAGE_SPREAD = 0.5  # see above
 
 
-_COMMON_CAUSES = frozenset({"no_configuration", "no_endpoint"})
+_SHARED_CAUSE_CODES = frozenset({"no_configuration", "no_endpoint"})
 
 
 def refusal_retry_ms(
     code: str, usual_ms: float, time_ms: float | None, random: Random
 ) -> float:
     """When a caller with ``time_ms`` may be served; ``usual_ms`` by other causes."""
-    if code not in _COMMON_CAUSES:
+    if code not in _SHARED_CAUSE_CODES:
         return usual_ms
     spread = 1 - _OUTAGE_SPREAD / 2 + _OUTAGE_SPREAD * random.random()
     return max(NOT_YET_RETRY_MS, outage_wait_ms(time_ms) * spread)
@@ -78,7 +78,7 @@
 
 def outage_wait_ms(time_ms: float | None) -> float:
     """How much of its ``time_ms`` a caller may wait for what no instance can do now."""
-    return min(_OUTAGE_SHARE * (time_ms or 0.0), _OUTAGE_MOST_MS)
+    return min(_OUTAGE_SHARE * (time_ms or 0.0), _MAX_OUTAGE_WAIT_MS)
 
 
 @frozen
--- a/src/coursekeel/gateway/admission/_stop_window.py
+++ b/src/coursekeel/gateway/admission/_stop_window.py
@@ -19,10 +19,10 @@
 # The balancer asks for readiness every second and takes an instance out after two
 # refusals (the users' page on the wire): 2 s at the most, and 0.6 s for new connections
 # on their way.
-_BALANCER_TOLD_MS = 2_600.0
+_BALANCER_SETTLE_MS = 2_600.0
 
 # A grace shorter than twice that is split in halves. No site has one.
-_MAX_TOLD_SHARE = 0.5
+_MAX_SETTLE_SHARE = 0.5
 
 # What is left of the grace for the process to end by itself, after the last answer.
 # 0.48 s of the usual 8.
@@ -31,7 +31,7 @@
 # Before an instance has seen how long streams take, one is taken so early in the grace.
 # Where long ones took 9 s of a grace of 8, it let two to four streams of a day with
 # stops in turn begin and be cut at the end of the grace.
-_LATE_STREAM_SHARE = 0.096
+_STREAM_START_SHARE = 0.096
 
 
 @frozen
@@ -42,19 +42,19 @@
     ``last_ms`` is cut.
     """
 
-    begun_ms: float
+    started_ms: float
     settled_ms: float
     last_ms: float
 
     @classmethod
     def beginning(cls, now_ms: float, grace_ms: float) -> "StopWindow":
         """The window of a stop that begins now and has ``grace_ms``."""
-        told_ms = min(_BALANCER_TOLD_MS, _MAX_TOLD_SHARE * grace_ms)
+        settle_ms = min(_BALANCER_SETTLE_MS, _MAX_SETTLE_SHARE * grace_ms)
         last_ms = now_ms + (1 - _EXIT_SHARE) * grace_ms
-        return cls(now_ms, now_ms + told_ms, last_ms)
+        return cls(now_ms, now_ms + settle_ms, last_ms)
 
-    def leaves_time_for(
-        self, route: Route, now_ms: float, long_stream_ms: float | None = None
+    def has_time_for(
+        self, route: Route, now_ms: float, stream_estimate_ms: float | None = None
     ) -> bool:
         """Say whether a request that comes now can be answered before the end.
 
@@ -62,10 +62,10 @@
         call that came 7.5 s after SIGTERM was once passed on, and cut 33 ms later.
         """
         if route.kind.streams:
-            if long_stream_ms is not None:
-                return now_ms + long_stream_ms <= self.last_ms
-            grace_ms = self.last_ms - self.begun_ms
-            return now_ms - self.begun_ms <= _LATE_STREAM_SHARE * grace_ms
+            if stream_estimate_ms is not None:
+                return now_ms + stream_estimate_ms <= self.last_ms
+            grace_ms = self.last_ms - self.started_ms
+            return now_ms - self.started_ms <= _STREAM_START_SHARE * grace_ms
         return now_ms <= self.settled_ms or now_ms + route.timeout_ms <= self.last_ms
 
 
--- a/src/coursekeel/gateway/admission/_stream_lengths.py
+++ b/src/coursekeel/gateway/admission/_stream_lengths.py
@@ -9,14 +9,14 @@
 __all__ = ["StreamLengths"]
 
 # How much the newest stream counts. Some twenty streams.
-_NEWEST_SHARE = 0.1
+_NEWEST_WEIGHT = 0.1
 # Nine in ten streams are shorter than the mean and so many mean deviations, if their
 # lengths spread evenly around it.
-_DEVIATIONS = 2.0
+_DEVIATION_FACTOR = 2.0
 
 
 @define
-class _Length:
+class _DurationEstimate:
     mean_ms: float
     deviation_ms: float
 
@@ -25,21 +25,23 @@
 class StreamLengths:
     """Lengths by route."""
 
-    _by_route: dict[str, _Length] = field(factory=dict)
+    _by_route: dict[str, _DurationEstimate] = field(factory=dict)
 
-    def ended(self, route: str, took_ms: float) -> None:
+    def stream_finished(self, route: str, took_ms: float) -> None:
         """A stream that was asked for from its start ended whole."""
-        known = self._by_route.get(route)
-        if known is None:
-            self._by_route[route] = _Length(took_ms, took_ms / 4)
+        estimate = self._by_route.get(route)
+        if estimate is None:
+            self._by_route[route] = _DurationEstimate(took_ms, took_ms / 4)
             return
-        off_ms = took_ms - known.mean_ms
-        known.mean_ms += _NEWEST_SHARE * off_ms
-        known.deviation_ms += _NEWEST_SHARE * (abs(off_ms) - known.deviation_ms)
+        difference_ms = took_ms - estimate.mean_ms
+        estimate.mean_ms += _NEWEST_WEIGHT * difference_ms
+        estimate.deviation_ms += _NEWEST_WEIGHT * (
+            abs(difference_ms) - estimate.deviation_ms
+        )
 
-    def long_ms(self, route: str) -> float | None:
+    def upper_estimate_ms(self, route: str) -> float | None:
         """What a long one takes; None before the first has ended."""
-        known = self._by_route.get(route)
-        if known is None:
+        estimate = self._by_route.get(route)
+        if estimate is None:
             return None
-        return known.mean_ms + _DEVIATIONS * known.deviation_ms
+        return estimate.mean_ms + _DEVIATION_FACTOR * estimate.deviation_ms
--- a/src/coursekeel/gateway/endpoints/_crash_watch.py
+++ b/src/coursekeel/gateway/endpoints/_crash_watch.py
@@ -17,10 +17,10 @@
 from coursekeel.gateway._request import AdmittedRequest
 from coursekeel.gateway.endpoints._endpoint_client import EndpointClient
 from coursekeel.gateway.endpoints._endpoint_health import EndpointHealth
-from coursekeel.gateway.endpoints._endpoint_question import (
-    EndpointQuestion,
-    NoAnswer,
-    QuestionEnd,
+from coursekeel.gateway.endpoints._endpoint_probe import (
+    EndpointProbe,
+    ProbeFailure,
+    ProbeResult,
     Silence,
 )
 from coursekeel.gateway.site._known_site import KnownSite
@@ -43,8 +43,8 @@
     health: EndpointHealth
     gate: QuarantineGate
     metrics: GatewayMetrics
-    _lost: LostRuns = field(factory=LostRuns)
-    _gives_reports: set[str] = field(factory=set)
+    _lost_runs: LostRuns = field(factory=LostRuns)
+    _reporting_endpoints: set[str] = field(factory=set)
 
     def run_lost(self, call: AdmittedRequest, lost: LostRun) -> None:
         """A run's connection ended, or it was silent for too long."""
@@ -56,34 +56,36 @@
         if record is None or record.leaving:
             return
         if call.route.kind.streams:
-            self._gives_reports.add(lost.endpoint_id)
+            self._reporting_endpoints.add(lost.endpoint_id)
         suspect = Suspect(call.fingerprint, sign, self.clock.now_ms())
-        if self._lost.add(lost.endpoint_id, suspect):
-            self._ask(record)
+        if self._lost_runs.add(lost.endpoint_id, suspect):
+            self._probe(record)
 
-    def _ask(self, endpoint: EndpointRecord) -> None:
-        EndpointQuestion(
+    def _probe(self, endpoint: EndpointRecord) -> None:
+        EndpointProbe(
             self.reactor,
             self.client,
             endpoint,
             self.client.dialect.report,
             self.settings.timers.report_ms,
-            lambda end: self._answered(endpoint.endpoint_id, end),
+            lambda result: self._probe_ended(endpoint.endpoint_id, result),
         ).start()
 
-    def _answered(self, endpoint_id: str, end: QuestionEnd) -> None:
-        suspects = self._lost.taken(endpoint_id)
-        gives_reports = endpoint_id in self._gives_reports
-        self._gives_reports.discard(endpoint_id)
-        if not isinstance(end, NoAnswer) or not _proves_end(end, gives_reports):
+    def _probe_ended(self, endpoint_id: str, result: ProbeResult) -> None:
+        suspects = self._lost_runs.taken(endpoint_id)
+        gives_reports = endpoint_id in self._reporting_endpoints
+        self._reporting_endpoints.discard(endpoint_id)
+        if not isinstance(result, ProbeFailure) or not _confirms_crash(
+            result, gives_reports
+        ):
             return
-        self.health.unreachable(endpoint_id, end.reason)
+        self.health.unreachable(endpoint_id, result.reason)
         self.metrics.endpoint_ended(endpoint_id, [x.fingerprint for x in suspects])
         self.gate.struck(endpoint_id, suspects)
 
 
-def _proves_end(end: NoAnswer, gives_reports: bool) -> bool:
+def _confirms_crash(result: ProbeFailure, gives_reports: bool) -> bool:
     """A plain service may have a question wait for a place: that proves nothing."""
-    if end.silence is Silence.TOO_LATE:
+    if result.silence is Silence.TOO_LATE:
         return gives_reports
-    return end.silence is Silence.NOT_REACHED
+    return result.silence is Silence.NOT_REACHED
--- a/src/coursekeel/gateway/endpoints/_endpoint_client.py
+++ b/src/coursekeel/gateway/endpoints/_endpoint_client.py
@@ -51,8 +51,8 @@
 
         def headers() -> Sequence[tuple[bytes, bytes]]:
             remaining_ms = call.due_ms - self.clock.now_ms()
-            now = evolve(outbound, remaining_ms=remaining_ms)
-            return self.dialect.headers(call.received, now)
+            current = evolve(outbound, remaining_ms=remaining_ms)
+            return self.dialect.headers(call.received, current)
 
         request = ExchangeRequest(
             outbound.endpoint.host,
@@ -64,7 +64,7 @@
         )
         return self._open(request, sink, self.settings.timers.connect_ms)
 
-    def ask(
+    def send_probe(
         self,
         endpoint: EndpointRecord,
         call: EndpointCall,
--- a/src/coursekeel/gateway/endpoints/_endpoint_health.py
+++ b/src/coursekeel/gateway/endpoints/_endpoint_health.py
@@ -42,6 +42,6 @@
         self.metrics.ejected(endpoint_id, "replaced", 0.0)
         self.site.endpoint_replaced(endpoint_id)
 
-    def lost_run(self, pool: str, endpoint_id: str) -> None:
+    def run_lost(self, pool: str, endpoint_id: str) -> None:
         """A run was lost there; its zone may be failing."""
         self.router.endpoints.lost(pool, endpoint_id, self.clock.now_ms())
--- a/src/coursekeel/gateway/endpoints/_endpoint_question.py
+++ b/src/coursekeel/gateway/endpoints/_endpoint_probe.py
@@ -17,7 +17,7 @@
 from coursekeel.reactor import Reactor
 from coursekeel.units import MS_PER_SECOND
 
-__all__ = ["EndpointAnswer", "EndpointQuestion", "NoAnswer", "QuestionEnd", "Silence"]
+__all__ = ["EndpointProbe", "ProbeFailure", "ProbeResponse", "ProbeResult", "Silence"]
 
 
 class Silence(Enum):
@@ -29,7 +29,7 @@
 
 
 @frozen
-class EndpointAnswer:
+class ProbeResponse:
     """The whole answer."""
 
     status: int
@@ -37,18 +37,18 @@
 
 
 @frozen
-class NoAnswer:
+class ProbeFailure:
     """The endpoint gave none; ``reason`` is for the log."""
 
     silence: Silence
     reason: str
 
 
-QuestionEnd = EndpointAnswer | NoAnswer
+ProbeResult = ProbeResponse | ProbeFailure
 
 
 @define(eq=False)
-class EndpointQuestion(ExchangeSink):
+class EndpointProbe(ExchangeSink):
     """Asks once; ``on_end`` is called once.
 
     ``limit_ms`` counts anew while this instance's own link is full.
@@ -58,17 +58,19 @@
     client: EndpointClient
     endpoint: EndpointRecord
     call: EndpointCall
-    limit_ms: float
-    on_end: Callable[[QuestionEnd], None]
+    timeout_ms: float
+    on_result: Callable[[ProbeResult], None]
     _exchange: Exchange | None = None
-    _limit: Any = None
+    _timeout: Any = None
     _head: ExchangeHead | None = None
     _body: list[bytes] = field(factory=list)
 
     def start(self) -> None:
         """Send the question."""
-        self._wait()
-        self._exchange = self.client.ask(self.endpoint, self.call, self, self.limit_ms)
+        self._start_timeout()
+        self._exchange = self.client.send_probe(
+            self.endpoint, self.call, self, self.timeout_ms
+        )
 
     def head_arrived(self, head: ExchangeHead) -> None:
         self._head = head
@@ -77,23 +79,23 @@
         self._body.append(data)
 
     def ended(self, ending: Ending, reason: str) -> None:
-        if self._limit.active():
-            self._limit.cancel()
+        if self._timeout.active():
+            self._timeout.cancel()
         if ending is Ending.WHOLE and self._head is not None:
-            self.on_end(EndpointAnswer(self._head.status, b"".join(self._body)))
+            self.on_result(ProbeResponse(self._head.status, b"".join(self._body)))
         elif ending is Ending.NOT_SENT:
-            self.on_end(NoAnswer(Silence.NOT_REACHED, reason))
+            self.on_result(ProbeFailure(Silence.NOT_REACHED, reason))
         else:
-            self.on_end(NoAnswer(Silence.CUT, reason))
+            self.on_result(ProbeFailure(Silence.CUT, reason))
 
-    def _wait(self) -> None:
-        limit_s = self.limit_ms / MS_PER_SECOND
-        self._limit = self.reactor.callLater(limit_s, self._too_late)
+    def _start_timeout(self) -> None:
+        timeout_s = self.timeout_ms / MS_PER_SECOND
+        self._timeout = self.reactor.callLater(timeout_s, self._timed_out)
 
-    def _too_late(self) -> None:
+    def _timed_out(self) -> None:
         if self.client.link.full:
-            self._wait()
+            self._start_timeout()
             return
         assert self._exchange is not None
         self._exchange.abort()
-        self.on_end(NoAnswer(Silence.TOO_LATE, "too_late"))
+        self.on_result(ProbeFailure(Silence.TOO_LATE, "too_late"))
--- a/src/coursekeel/gateway/endpoints/_load_reports.py
+++ b/src/coursekeel/gateway/endpoints/_load_reports.py
@@ -20,11 +20,11 @@
     UnreadableReport,
 )
 from coursekeel.gateway._context import GatewayContext
-from coursekeel.gateway.endpoints._endpoint_question import (
-    EndpointAnswer,
-    EndpointQuestion,
-    NoAnswer,
-    QuestionEnd,
+from coursekeel.gateway.endpoints._endpoint_probe import (
+    EndpointProbe,
+    ProbeFailure,
+    ProbeResponse,
+    ProbeResult,
     Silence,
 )
 from coursekeel.observe import log_event
@@ -33,7 +33,7 @@
 __all__ = ["LoadReports"]
 
 _OnReport = Callable[[EndpointReport | None], None]
-_OnKept = Callable[[frozenset[str]], None]
+_OnFound = Callable[[frozenset[str]], None]
 
 
 @define(eq=False)
@@ -42,101 +42,110 @@
 
     context: GatewayContext
 
-    def ask_all(self, endpoint_ids: list[str], done: Callable[[], None]) -> None:
+    def request_reports(
+        self, endpoint_ids: list[str], on_done: Callable[[], None]
+    ) -> None:
         """Ask several endpoints at once; ``done`` is called when all have ended."""
-        waiting = set(endpoint_ids)
+        pending = set(endpoint_ids)
 
-        def one_ended(endpoint_id: str, _: EndpointReport | None) -> None:
-            waiting.discard(endpoint_id)
-            if not waiting:
-                done()
+        def probe_ended(endpoint_id: str, _: EndpointReport | None) -> None:
+            pending.discard(endpoint_id)
+            if not pending:
+                on_done()
 
         for endpoint_id in endpoint_ids:
-            self.ask(endpoint_id, partial(one_ended, endpoint_id))
+            self.request_report(endpoint_id, partial(probe_ended, endpoint_id))
 
-    def ask_kept(self, endpoint_ids: list[str], prompt_key: str, done: _OnKept) -> None:
+    def find_cached_prompt(
+        self, endpoint_ids: list[str], prompt_key: str, on_done: _OnFound
+    ) -> None:
         """Ask several endpoints which of them keep a prompt."""
-        records = [self.context.site.directory.record(each) for each in endpoint_ids]
-        waiting = {each.endpoint_id for each in records if each is not None}
-        kept_at: set[str] = set()
-
-        def one_ended(endpoint_id: str, end: QuestionEnd) -> None:
-            waiting.discard(endpoint_id)
-            if isinstance(end, EndpointAnswer) and end.status == HTTPStatus.OK:
-                kept = self.context.endpoints.dialect.read_kept(end.body)
-                if prompt_key in kept:
-                    kept_at.add(endpoint_id)
-            if not waiting:
-                done(frozenset(kept_at))
-
-        if not waiting:
-            done(frozenset())
+        records = [
+            self.context.site.directory.record(candidate_id)
+            for candidate_id in endpoint_ids
+        ]
+        pending = {endpoint.endpoint_id for endpoint in records if endpoint is not None}
+        cached_at: set[str] = set()
+
+        def probe_ended(endpoint_id: str, result: ProbeResult) -> None:
+            pending.discard(endpoint_id)
+            if isinstance(result, ProbeResponse) and result.status == HTTPStatus.OK:
+                cached_keys = self.context.endpoints.dialect.read_kept(result.body)
+                if prompt_key in cached_keys:
+                    cached_at.add(endpoint_id)
+            if not pending:
+                on_done(frozenset(cached_at))
+
+        if not pending:
+            on_done(frozenset())
         for record in records:
             if record is not None:
                 call = self.context.endpoints.dialect.kept_prompts
-                on_end = partial(one_ended, record.endpoint_id)
-                self._question(record, call, on_end).start()
+                on_result = partial(probe_ended, record.endpoint_id)
+                self._probe(record, call, on_result).start()
 
-    def _question(
+    def _probe(
         self,
         record: EndpointRecord,
         call: EndpointCall,
-        on_end: Callable[[QuestionEnd], None],
-    ) -> EndpointQuestion:
+        on_result: Callable[[ProbeResult], None],
+    ) -> EndpointProbe:
         context = self.context
-        limit_ms = context.settings.timers.report_ms
-        return EndpointQuestion(
-            context.reactor, context.endpoints, record, call, limit_ms, on_end
+        timeout_ms = context.settings.timers.report_ms
+        return EndpointProbe(
+            context.reactor, context.endpoints, record, call, timeout_ms, on_result
         )
 
-    def ask(self, endpoint_id: str, on_report: _OnReport) -> None:
+    def request_report(self, endpoint_id: str, on_report: _OnReport) -> None:
         """Ask one endpoint; ``on_report`` gets None if it gave no report in time."""
         record = self.context.site.directory.record(endpoint_id)
         if record is None:
             on_report(None)
             return
-        self.ask_record(record, on_report)
+        self.request_report_from(record, on_report)
 
-    def ask_record(self, record: EndpointRecord, on_report: _OnReport) -> None:
+    def request_report_from(self, record: EndpointRecord, on_report: _OnReport) -> None:
         """Ask an endpoint that the list need not name."""
-        asked_ms = self.context.clock.now_ms()
+        requested_ms = self.context.clock.now_ms()
         call = self.context.endpoints.dialect.report
-        self._question(
-            record, call, lambda end: on_report(self._report(record, asked_ms, end))
+        self._probe(
+            record,
+            call,
+            lambda result: on_report(self._read_report(record, requested_ms, result)),
         ).start()
 
-    def _report(
-        self, record: EndpointRecord, asked_ms: float, end: QuestionEnd
+    def _read_report(
+        self, record: EndpointRecord, requested_ms: float, result: ProbeResult
     ) -> EndpointReport | None:
         """What was said, after routing has it; None if nothing that can be used."""
-        if isinstance(end, NoAnswer):
-            self._tell_health(record.endpoint_id, end)
+        if isinstance(result, ProbeFailure):
+            self._update_health(record.endpoint_id, result)
             return None
-        if end.status != HTTPStatus.OK:
+        if result.status != HTTPStatus.OK:
             return None
-        report = self.context.endpoints.dialect.read_report(end.body)
+        report = self.context.endpoints.dialect.read_report(result.body)
         if isinstance(report, UnreadableReport):
             _log_unreadable(record.endpoint_id, report)
             return None
-        self._feed_routing(record, report, asked_ms)
+        self._update_routing(record, report, requested_ms)
         return report
 
-    def _tell_health(self, endpoint_id: str, end: NoAnswer) -> None:
+    def _update_health(self, endpoint_id: str, result: ProbeFailure) -> None:
         """Endpoints answer this within a few milliseconds, even when they are full."""
-        if end.silence is Silence.NOT_REACHED:
-            self.context.health.unreachable(endpoint_id, end.reason)
-        elif end.silence is Silence.TOO_LATE:
+        if result.silence is Silence.NOT_REACHED:
+            self.context.health.unreachable(endpoint_id, result.reason)
+        elif result.silence is Silence.TOO_LATE:
             self.context.health.unreachable(endpoint_id, "report_timeout")
 
-    def _feed_routing(
-        self, record: EndpointRecord, report: EndpointReport, asked_ms: float
+    def _update_routing(
+        self, record: EndpointRecord, report: EndpointReport, requested_ms: float
     ) -> None:
         load = LoadReport(
             record.endpoint_id,
             report.running,
             report.queued,
             record.slots,
-            asked_ms,
+            requested_ms,
             report.unread_runs,
             report.free_tokens,
         )
--- a/src/coursekeel/gateway/streams/_placement.py
+++ b/src/coursekeel/gateway/streams/_placement.py
@@ -29,19 +29,19 @@
 # in place of three lets one stream in five of 195 instances wait for another's prompt;
 # 5 and 8 shorten streams by 1 and 2 in 100, but then instances with the same old
 # reports meet at the emptiest, and one in twenty waits (`test_fleet_load.py`, 40 s).
-_ASKED = 3
+_LOAD_REQUESTS = 3
 
 # How many are asked whether they keep the prompt of a stream that comes back: all of a
 # small site's. With streams refused that a stop would cut (`StopWindow`), it took
 # prompts read for nothing from 0.041 to 0.026 of a day's worth, and the mean worth from
 # 0.636 to 0.665 (20 days with trouble, four seeds each). Other numbers were not tried.
-_ASKED_KEPT = 16
+_CACHED_PROMPT_REQUESTS = 16
 
 # The cost of a request whose caller says nothing of its tokens, for fairness among
 # teams: it must be more than nothing.
-_UNKNOWN_COST = 1.0
+_DEFAULT_COST_TOKENS = 1.0
 
-_Decided = Callable[[Decision], None]
+_OnDecision = Callable[[Decision], None]
 
 
 @define(eq=False)
@@ -53,92 +53,98 @@
     call: AdmittedRequest
     _request: PlacementRequest | None = None
     _searching: bool = False
-    _asked_kept: bool = False
-    _known_kept: frozenset[str] = frozenset()
-    _number: int | None = None
+    _searched_caches: bool = False
+    _prompt_cached_at: frozenset[str] = frozenset()
+    _request_number: int | None = None
     _lost_zones: set[str] = field(factory=set)
-    _copies: dict[str, str] = field(factory=dict)
+    _copy_addresses: dict[str, str] = field(factory=dict)
 
     @property
-    def asked(self) -> int:
+    def reports_requested(self) -> int:
         """How many endpoints were asked for their load at the last search."""
         return len(self._request.asked) if self._request else 0
 
-    def search(self, action: SeekEndpoint, decided: _Decided) -> None:
+    def search(self, action: SeekEndpoint, on_decision: _OnDecision) -> None:
         """Search for an endpoint; ``decided`` is called once unless `stop` is."""
         now_ms = self.context.clock.now_ms()
         request = self._request = self._placement_request(action, now_ms)
         self._searching = True
-        if request.caller_resumes and not self._asked_kept:
-            self._asked_kept = True
+        if request.caller_resumes and not self._searched_caches:
+            self._searched_caches = True
             endpoints = self.context.routing.router.endpoints
-            keepers = endpoints.may_keep(request, now_ms, _ASKED_KEPT)
-            self.reports.ask_kept(
-                keepers, request.prompt_key, lambda kept: self._kept_at(kept, decided)
+            candidates = endpoints.may_keep(request, now_ms, _CACHED_PROMPT_REQUESTS)
+            self.reports.find_cached_prompt(
+                candidates,
+                request.prompt_key,
+                lambda cached_at: self._caches_found(cached_at, on_decision),
             )
             return
-        self._ask_loads(decided)
+        self._request_loads(on_decision)
 
-    def _kept_at(self, kept_at: frozenset[str], decided: _Decided) -> None:
-        self._known_kept = kept_at
+    def _caches_found(
+        self, cached_at: frozenset[str], on_decision: _OnDecision
+    ) -> None:
+        self._prompt_cached_at = cached_at
         if self._searching and self._request is not None:
-            self._request = evolve(self._request, kept_at=kept_at)
-            self._ask_loads(decided)
+            self._request = evolve(self._request, kept_at=cached_at)
+            self._request_loads(on_decision)
 
-    def _ask_loads(self, decided: _Decided) -> None:
+    def _request_loads(self, on_decision: _OnDecision) -> None:
         assert self._request is not None
         now_ms = self.context.clock.now_ms()
         endpoints = self.context.routing.router.endpoints
-        asked = endpoints.to_ask(self._request, now_ms, _ASKED)
+        asked = endpoints.to_ask(self._request, now_ms, _LOAD_REQUESTS)
         if asked:
-            self.reports.ask_all(asked, lambda: self._reports_in(asked, decided))
+            self.reports.request_reports(
+                asked, lambda: self._reports_updated(asked, on_decision)
+            )
         else:
-            self._reports_in([], decided)
+            self._reports_updated([], on_decision)
 
     def _placement_request(
         self, action: SeekEndpoint, now_ms: float
     ) -> PlacementRequest:
         call, caller = self.call, self.call.caller
-        begun = action.continuing or action.held_tokens > 0
-        first = not begun and self._request is None
+        resuming = action.continuing or action.held_tokens > 0
+        first_search = not resuming and self._request is None
         tokens = caller.prompt_tokens + caller.output_tokens
         return PlacementRequest(
             team=call.team_name,
             request_class=call.route.name,
             rank=call.rank,
-            pool=self.context.versions.pool_for(call, first),
-            cost=float(tokens) or _UNKNOWN_COST,
-            deadline_ms=call.due_ms if begun else queue_deadline_ms(call, now_ms),
+            pool=self.context.versions.pool_for(call, first_search),
+            cost=float(tokens) or _DEFAULT_COST_TOKENS,
+            deadline_ms=call.due_ms if resuming else queue_deadline_ms(call, now_ms),
             prompt_tokens=caller.prompt_tokens,
             prompt_key=caller.prompt_key or caller.request_id,
             excluded=action.excluded,
             avoided_zones=frozenset(self._lost_zones),
             caller_resumes=caller.resume_after is not None,
-            kept_at=self._known_kept,
+            kept_at=self._prompt_cached_at,
         )
 
-    def _reports_in(self, asked: list[str], decided: _Decided) -> None:
+    def _reports_updated(self, asked: list[str], on_decision: _OnDecision) -> None:
         if not self._searching or self._request is None:
             return
         self._request = evolve(self._request, asked=frozenset(asked))
 
-        def on_decision(decision: Decision) -> None:
-            self._number = None
+        def decision_made(decision: Decision) -> None:
+            self._request_number = None
             self._searching = False
-            decided(decision)
+            on_decision(decision)
 
-        number = self.context.routing.place(self._request, on_decision)
+        number = self.context.routing.place(self._request, decision_made)
         # The decision may have come already.
-        self._number = number if self._searching else None
+        self._request_number = number if self._searching else None
 
     def stop(self) -> None:
         """Search no more."""
         self._searching = False
-        if self._number is not None:
-            self.context.routing.withdraw(self._number)
-            self._number = None
+        if self._request_number is not None:
+            self.context.routing.withdraw(self._request_number)
+            self._request_number = None
 
-    def give_back(self, endpoint_id: str) -> None:
+    def release_grant(self, endpoint_id: str) -> None:
         """A granted place isn't used."""
         self.context.routing.returned(endpoint_id, self.call.caller.prompt_tokens)
 
@@ -150,7 +156,7 @@
         # A copy lies at an address: when it was placed, the list may still have named
         # the incarnation before the one that took it. By now the endpoint may be
         # leaving, or another pool's may have the address.
-        record = directory.at_address(self._copies.get(action.endpoint_id, ""))
+        record = directory.at_address(self._copy_addresses.get(action.endpoint_id, ""))
         if record is None or record.leaving or record.pool != self.call.pool:
             return None
         return record if self.context.versions.may_have(record) else None
@@ -163,15 +169,15 @@
         request = evolve(self._request, avoided_zones=frozenset(self._lost_zones))
         now_ms = self.context.clock.now_ms()
         endpoints = self.context.routing.router.endpoints
-        keeper = endpoints.for_copy(request, action.endpoint_id, now_ms)
-        record = self.context.site.directory.record(keeper)
+        copy_endpoint_id = endpoints.for_copy(request, action.endpoint_id, now_ms)
+        record = self.context.site.directory.record(copy_endpoint_id)
         if record is not None:
-            self._copies[keeper] = record.address
+            self._copy_addresses[copy_endpoint_id] = record.address
         return record
 
-    def lost(self, endpoint_id: str) -> None:
+    def run_lost(self, endpoint_id: str) -> None:
         """A run was lost there: this stream avoids its zone from now on."""
-        self.context.health.lost_run(self.call.pool, endpoint_id)
+        self.context.health.run_lost(self.call.pool, endpoint_id)
         record = self.context.site.directory.record(endpoint_id)
         if record is not None:
             self._lost_zones.add(record.zone)
--- a/src/coursekeel/gateway/streams/_silence_doubt.py
+++ b/src/coursekeel/gateway/streams/_stall_check.py
@@ -20,14 +20,14 @@
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 from coursekeel.runtime import Clock
 
-__all__ = ["SilenceDoubt"]
+__all__ = ["StallCheck"]
 
 # A silence of four times `silence_ms` is over the pause that callers bear anyway.
-_MOST_SILENCES = 4
+_MAX_STALLS = 4
 
 
 @define(eq=False)
-class SilenceDoubt:
+class StallCheck:
     """One stream's; ``gone`` is told of an endpoint that is to be given up.
 
     ``may_repeat`` says whether the stream could be sent again.
@@ -35,50 +35,52 @@
 
     clock: Clock
     reports: LoadReports
-    seen: LivedSilences
+    silences: LivedSilences
     pool: str
     run_id: str
-    gone: Callable[[str], None]
+    on_lost: Callable[[str], None]
     may_repeat: Callable[[], bool]
     _position: int = -1
-    _silences: int = 0
+    _stalls: int = 0
 
-    def counts(self, endpoint_ids: list[str], position: int) -> bool:
+    def runs_lost(self, endpoint_ids: list[str], position: int) -> bool:
         """Say whether the runs at these endpoints are lost by their silence.
 
         ``position`` is the number of the stream's last event.
         """
-        if not endpoint_ids or not self.seen.lately(self.pool, self.clock.now_ms()):
+        if not endpoint_ids or not self.silences.recently_alive(
+            self.pool, self.clock.now_ms()
+        ):
             return True
         if position != self._position:
-            self._position, self._silences = position, 0
-        self._silences += 1
-        if self._silences >= _MOST_SILENCES and self.may_repeat():
+            self._position, self._stalls = position, 0
+        self._stalls += 1
+        if self._stalls >= _MAX_STALLS and self.may_repeat():
             return True
-        for each in endpoint_ids:
-            self._ask(each)
+        for endpoint_id in endpoint_ids:
+            self._request_report(endpoint_id)
         return False
 
-    def given_up(self, endpoint_id: str) -> None:
+    def run_abandoned(self, endpoint_id: str) -> None:
         """A run was given up as silent: learn whether its endpoint lives."""
-        if self.seen.lately(self.pool, self.clock.now_ms()):
+        if self.silences.recently_alive(self.pool, self.clock.now_ms()):
             return
 
-        def reported(report: EndpointReport | None) -> None:
+        def report_received(report: EndpointReport | None) -> None:
             if report is not None:
-                self.seen.lived(self.pool, self.clock.now_ms())
+                self.silences.record_alive(self.pool, self.clock.now_ms())
 
-        self.reports.ask(endpoint_id, reported)
+        self.reports.request_report(endpoint_id, report_received)
 
-    def _ask(self, endpoint_id: str) -> None:
-        asked_at = self._position
+    def _request_report(self, endpoint_id: str) -> None:
+        requested_at = self._position
 
-        def reported(report: EndpointReport | None) -> None:
-            if self._position != asked_at:
+        def report_received(report: EndpointReport | None) -> None:
+            if self._position != requested_at:
                 return
             if report is None or self.run_id not in report.runs:
-                self.gone(endpoint_id)
+                self.on_lost(endpoint_id)
             else:
-                self.seen.lived(self.pool, self.clock.now_ms())
+                self.silences.record_alive(self.pool, self.clock.now_ms())
 
-        self.reports.ask(endpoint_id, reported)
+        self.reports.request_report(endpoint_id, report_received)
--- a/src/coursekeel/gateway/streams/_stream_attempt.py
+++ b/src/coursekeel/gateway/streams/_stream_attempt.py
@@ -38,7 +38,7 @@
 from coursekeel.gateway._metrics import LostRun
 from coursekeel.gateway._request import AdmittedRequest
 from coursekeel.gateway.endpoints._load_reports import LoadReports
-from coursekeel.gateway.streams._begin_watch import BeginWatch
+from coursekeel.gateway.streams._first_event_watch import FirstEventWatch
 from coursekeel.gateway.streams._successors import Successors
 
 __all__ = ["AttemptOwner", "StreamAttempt"]
@@ -66,11 +66,11 @@
         """Say whether a run may be sent there, now that its connection stands."""
 
     @abstractmethod
-    def opened(self, attempt: int, head: ExchangeHead) -> None:
+    def stream_opened(self, attempt: int, head: ExchangeHead) -> None:
         """An endpoint answered with a stream of this request."""
 
     @abstractmethod
-    def answered_otherwise(self, head: ExchangeHead, body: bytes) -> None:
+    def final_response_received(self, head: ExchangeHead, body: bytes) -> None:
         """An endpoint gave a final answer that isn't a stream."""
 
     @abstractmethod
@@ -78,11 +78,11 @@
         """A run that was sent reached no endpoint."""
 
     @abstractmethod
-    def attempt_over(self, number: int) -> None:
+    def attempt_ended(self, number: int) -> None:
         """The attempt's connection ended by itself."""
 
     @abstractmethod
-    def lost(self, lost: LostRun) -> None:
+    def run_lost(self, lost: LostRun) -> None:
         """An attempt was lost before the answer was whole."""
 
 
@@ -100,19 +100,19 @@
     _head: ExchangeHead | None = None
     _streaming: bool = False
     _events: int = 0
-    _headed_ms: float | None = None
-    _first_ms: float | None = None
+    _head_received_ms: float | None = None
+    _first_event_ms: float | None = None
     _buffer: bytearray = field(factory=bytearray)
-    _watch: BeginWatch | None = None
+    _watch: FirstEventWatch | None = None
 
     def open(self, outbound: OutboundRequest) -> None:
         """Send the request."""
         self._send(outbound)
         if self.task.call.route.kind is RouteKind.RESUMABLE:
-            self._watch_beginning()
+            self._start_first_event_watch()
 
     @property
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         """Say whether the endpoint has given an event of the run."""
         return self._events > 0
 
@@ -127,31 +127,35 @@
             self._exchange.abort()
         self._release(failed=False)
 
-    def _watch_beginning(self) -> None:
+    def _start_first_event_watch(self) -> None:
         task = self.task
-        self._watch = BeginWatch(
+        self._watch = FirstEventWatch(
             task.context.reactor,
             task.context.clock,
             task.reports,
             self.endpoint_id,
             task.call.caller.request_id,
-            self._not_begun,
+            self._first_event_overdue,
         )
         self._watch.start()
 
-    def _not_begun(self, report: EndpointReport | None) -> None:
+    def _first_event_overdue(self, report: EndpointReport | None) -> None:
         """The endpoint is dead, or doesn't run what it was sent."""
         if report is None:
-            self.task.lost(self.lost_run("no_report"))
+            self.task.run_lost(self.loss_record("no_report"))
             self.task.tell(EndpointSilent(self.endpoint_id))
         else:
-            self._lost("not_running")
+            self._run_lost("not_running")
 
-    def lost_run(self, why: str) -> LostRun:
+    def loss_record(self, why: str) -> LostRun:
         """What is known of the run, if it is lost now."""
         now_ms = self.task.context.clock.now_ms()
-        ran_ms = None if self._headed_ms is None else now_ms - self._headed_ms
-        gave_ms = None if self._first_ms is None else now_ms - self._first_ms
+        ran_ms = (
+            None if self._head_received_ms is None else now_ms - self._head_received_ms
+        )
+        gave_ms = (
+            None if self._first_event_ms is None else now_ms - self._first_event_ms
+        )
         return LostRun(self.endpoint_id, why, ran_ms, gave_ms, self._events)
 
     def may_send(self) -> bool:
@@ -163,10 +167,10 @@
     def head_arrived(self, head: ExchangeHead) -> None:
         self._head = head
         task = self.task
-        self._headed_ms = task.context.clock.now_ms()
+        self._head_received_ms = task.context.clock.now_ms()
         if self._verdict(head) is HeadVerdict.RAN and head.status == HTTPStatus.OK:
             self._streaming = True
-            task.opened(self.number, head)
+            task.stream_opened(self.number, head)
 
     def _verdict(self, head: ExchangeHead) -> HeadVerdict:
         dialect = self.task.context.endpoints.dialect
@@ -177,32 +181,32 @@
         if not self._streaming:
             return
         events = split_events(self._buffer)
-        numbered = [(event_number(each), each) for each in events]
+        numbered = [(event_number(event), event) for event in events]
         numbers = [number for number, _ in numbered if number is not None]
         if len(numbers) < len(events):
-            self._lost("event_without_number")
+            self._run_lost("event_without_number")
             return
         if numbers:
             if not self._events:
-                self._first_event()
+                self._first_event_received()
             self._events += len(numbers)
-            self._take(numbers, events)
+            self._events_received(numbers, events)
 
-    def _first_event(self) -> None:
+    def _first_event_received(self) -> None:
         self._stop_watch()
         task = self.task
-        self._first_ms = task.context.clock.now_ms()
+        self._first_event_ms = task.context.clock.now_ms()
         router = task.context.routing.router
         load = router.load(self.endpoint_id)
         if load is not None and not self.from_copy:
-            waited_ms = self._first_ms - self.started_ms
+            waited_ms = self._first_event_ms - self.started_ms
             load.reading.began(task.call.caller.prompt_tokens, waited_ms)
         if not self.from_copy:
-            took_ms = self._first_ms - self.started_ms
+            took_ms = self._first_event_ms - self.started_ms
             task.context.versions.first_event(task.call, self.endpoint_id, took_ms)
         router.succeeded(self.endpoint_id, task.call.route.name)
 
-    def _take(self, numbers: list[int], events: list[bytes]) -> None:
+    def _events_received(self, numbers: list[int], events: list[bytes]) -> None:
         label = self.task.core.attempts[self.number].label
         position = numbers[0] - 1
         self.task.tell(TokensArrived(self.number, label, position, numbers, events))
@@ -211,50 +215,52 @@
         task = self.task
         if ending is Ending.WITHHELD:
             task.not_sent()
-            self._over(Loss.NOT_SENT)
+            self._end(Loss.NOT_SENT)
         elif ending is Ending.NOT_SENT:
             task.context.health.unreachable(self.endpoint_id, reason)
             task.not_sent()
-            self._over(Loss.NOT_SENT)
+            self._end(Loss.NOT_SENT)
         elif self._head is None:
-            self._lost(reason)
+            self._run_lost(reason)
         elif not self._streaming:
-            self._other_answer(self._head, ending)
+            self._non_stream_response(self._head, ending)
         elif ending is Ending.WHOLE and not self._buffer:
-            self._finished()
+            self._stream_finished()
         else:
-            self._lost(reason or "torn_event")
+            self._run_lost(reason or "torn_event")
 
-    def _finished(self) -> None:
+    def _stream_finished(self) -> None:
         task = self.task
         label = task.core.attempts[self.number].label
         position = task.core.ledger.next_position
-        self._tell_versions(failed=False)
+        self._record_version_outcome(failed=False)
         self._release(failed=False)
-        task.attempt_over(self.number)
+        task.attempt_ended(self.number)
         task.tell(FinishArrived(self.number, label, position, "end"))
 
-    def _tell_versions(self, failed: bool) -> None:
+    def _record_version_outcome(self, failed: bool) -> None:
         context = self.task.context
         took_ms = context.clock.now_ms() - self.started_ms
         context.versions.ended(self.task.call, self.endpoint_id, failed, took_ms)
 
-    def _other_answer(self, head: ExchangeHead, ending: Ending) -> None:
+    def _non_stream_response(self, head: ExchangeHead, ending: Ending) -> None:
         task = self.task
         verdict = self._verdict(head)
         if verdict is HeadVerdict.OTHER_INSTANCE:
-            self._answered_by_another(head)
+            self._other_instance_answered(head)
         elif verdict is HeadVerdict.NOT_RUN:
-            self._turned_away()
-        elif self._is_final(verdict, head, ending):
-            self._tell_versions(head.status >= HTTPStatus.INTERNAL_SERVER_ERROR)
+            self._request_rejected()
+        elif self._is_final_response(verdict, head, ending):
+            self._record_version_outcome(
+                head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
+            )
             self._release(failed=False)
-            task.attempt_over(self.number)
-            task.answered_otherwise(head, bytes(self._buffer))
+            task.attempt_ended(self.number)
+            task.final_response_received(head, bytes(self._buffer))
         else:
-            self._lost(f"status_{head.status}")
+            self._run_lost(f"status_{head.status}")
 
-    def _answered_by_another(self, head: ExchangeHead) -> None:
+    def _other_instance_answered(self, head: ExchangeHead) -> None:
         """Another incarnation has the address, and ran nothing.
 
         A copy lies at an address: one that was placed after a restart is kept by the
@@ -264,60 +270,62 @@
         """
         task = self.task
         task.context.health.replaced(self.endpoint_id)
-        named = task.context.endpoints.dialect.incarnation_named(head)
+        successor_id = task.context.endpoints.dialect.incarnation_named(head)
         if self.from_copy:
-            task.successors.find(self.endpoint_id, named, self._copy_has_moved)
+            task.successors.find(
+                self.endpoint_id, successor_id, self._retry_copy_at_successor
+            )
             return
-        task.successors.find(self.endpoint_id, named, _not_waited_for)
-        self._over(Loss.REFUSED)
+        task.successors.find(self.endpoint_id, successor_id, _ignore_successor)
+        self._end(Loss.REFUSED)
 
-    def _copy_has_moved(self, successor: EndpointRecord | None) -> None:
+    def _retry_copy_at_successor(self, successor: EndpointRecord | None) -> None:
         if not self.task.is_open(self.number):
             return
         if successor is None or self._outbound is None:
-            self._over(Loss.REFUSED)
+            self._end(Loss.REFUSED)
             return
         routing = self.task.context.routing
         routing.returned(self.endpoint_id, 0)
         routing.router.sent_to_copy(successor.endpoint_id)
         self.endpoint_id = successor.endpoint_id
         self._head = None
-        self._headed_ms = self._first_ms = None
+        self._head_received_ms = self._first_event_ms = None
         self._events = 0
         self._buffer.clear()
         self._stop_watch()
-        self._watch_beginning()
+        self._start_first_event_watch()
         self._send(evolve(self._outbound, endpoint=successor))
 
-    def _turned_away(self) -> None:
+    def _request_rejected(self) -> None:
         """A copy that isn't there says nothing of the endpoint's room."""
         if not self.from_copy:
             context = self.task.context
             now_ms = context.clock.now_ms()
             context.routing.router.turned_away(self.endpoint_id, now_ms)
-        self._over(Loss.REFUSED)
+        self._end(Loss.REFUSED)
 
-    def _is_final(
+    def _is_final_response(
         self, verdict: HeadVerdict, head: ExchangeHead, ending: Ending
     ) -> bool:
         """An endpoint's own failure is passed on only if no other can do better."""
         if verdict is not HeadVerdict.RAN or ending is not Ending.WHOLE:
             return False
-        once = self.task.call.route.kind is not RouteKind.RESUMABLE
-        return once or head.status < HTTPStatus.INTERNAL_SERVER_ERROR
+        runs_once = self.task.call.route.kind is not RouteKind.RESUMABLE
+        return runs_once or head.status < HTTPStatus.INTERNAL_SERVER_ERROR
 
-    def _lost(self, why: str) -> None:
-        self.task.lost(self.lost_run(why))
+    def _run_lost(self, why: str) -> None:
+        self.task.run_lost(self.loss_record(why))
         if self._exchange is not None:
             self._exchange.abort()
-        self._over(Loss.CUT, failed=True)
+        self._end(Loss.CUT, failed=True)
 
-    def _over(self, loss: Loss, failed: bool = False) -> None:
+    def _end(self, loss: Loss, failed: bool = False) -> None:
         if loss is not Loss.CUT:
             metrics = self.task.context.metrics
             metrics.try_ended(self.task.call, self.endpoint_id, loss.value)
         self._release(failed)
-        self.task.attempt_over(self.number)
+        self.task.attempt_ended(self.number)
         self.task.tell(AttemptEnded(self.number, loss))
 
     def _release(self, failed: bool) -> None:
@@ -332,5 +340,5 @@
             self._watch = None
 
 
-def _not_waited_for(_: EndpointRecord | None) -> None:
+def _ignore_successor(_: EndpointRecord | None) -> None:
     """New work finds the successor among the others, once it is known."""
--- a/src/coursekeel/gateway/streams/_stream_reply.py
+++ b/src/coursekeel/gateway/streams/_stream_reply.py
@@ -29,37 +29,37 @@
     call: AdmittedRequest
     reply: CallerReply
     ways: list[str] = field(factory=list)
-    _first_ms: float | None = None
-    _lost_ms: float | None = None
+    _head_sent_ms: float | None = None
+    _run_lost_ms: float | None = None
 
     @property
-    def waits_for_recovery(self) -> bool:
+    def is_recovering(self) -> bool:
         """Say whether a run was lost, and nothing has come since."""
-        return self._lost_ms is not None
+        return self._run_lost_ms is not None
 
-    def opened(self, head: ExchangeHead) -> None:
+    def stream_opened(self, head: ExchangeHead) -> None:
         """A run's stream opened; the first one's head is the reply's."""
         if self.reply.head_sent:
             return
-        self._first_ms = self.context.clock.now_ms()
+        self._head_sent_ms = self.context.clock.now_ms()
         headers = self.context.endpoints.dialect.answer_headers(head)
         self.reply.head(head.status, headers)
 
-    def lost(self, lost: LostRun, position: int) -> None:
+    def run_lost(self, lost: LostRun, position: int) -> None:
         """A run was lost after ``position`` events."""
-        if self._lost_ms is None:
-            self._lost_ms = self.context.clock.now_ms()
+        if self._run_lost_ms is None:
+            self._run_lost_ms = self.context.clock.now_ms()
         self.context.metrics.run_lost(self.call, lost, position)
 
     def deliver(self, events: bytes) -> None:
         """Send events on."""
-        if self._lost_ms is not None:
-            waited_ms = self.context.clock.now_ms() - self._lost_ms
+        if self._run_lost_ms is not None:
+            waited_ms = self.context.clock.now_ms() - self._run_lost_ms
             self.context.metrics.resumed(self.call, self.ways[-1], waited_ms)
-            self._lost_ms = None
+            self._run_lost_ms = None
         self.reply.write(events)
 
-    def complete(self) -> None:
+    def log_completed(self) -> None:
         """The stream is whole."""
         self._log_end("answered", HTTPStatus.OK)
 
@@ -67,7 +67,7 @@
         """Close the reply of a whole stream."""
         self.reply.finish()
 
-    def answered_otherwise(self, head: ExchangeHead, body: bytes) -> None:
+    def final_response_received(self, head: ExchangeHead, body: bytes) -> None:
         """An endpoint gave a final answer that isn't a stream."""
         self._log_end("answered", head.status)
         if self.reply.head_sent:
@@ -76,7 +76,7 @@
             headers = self.context.endpoints.dialect.answer_headers(head)
             self.reply.whole(head.status, headers, body)
 
-    def give_up(self, refusal: GatewayRefusal) -> None:
+    def refuse_or_cut(self, refusal: GatewayRefusal) -> None:
         """Nothing more will come; an answer that has begun is visibly cut."""
         if self.reply.head_sent:
             self._log_end(refusal.code, _NO_STATUS)
@@ -91,5 +91,5 @@
 
     def _log_end(self, code: str, status: int) -> None:
         self.context.metrics.ended(
-            self.call, code, status, len(self.ways), self._first_ms, self.ways
+            self.call, code, status, len(self.ways), self._head_sent_ms, self.ways
         )
--- a/src/coursekeel/gateway/streams/_stream_task.py
+++ b/src/coursekeel/gateway/streams/_stream_task.py
@@ -54,7 +54,7 @@
 )
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 from coursekeel.gateway.streams._placement import StreamPlacement
-from coursekeel.gateway.streams._silence_doubt import SilenceDoubt
+from coursekeel.gateway.streams._stall_check import StallCheck
 from coursekeel.gateway.streams._stream_attempt import AttemptOwner, StreamAttempt
 from coursekeel.gateway.streams._stream_reply import StreamReply
 from coursekeel.gateway.streams._successors import Successors
@@ -81,20 +81,20 @@
     core: AnswerCore[EventLedger] = field(init=False)
     _driver: AnswerDriver = field(init=False)
     _placement: StreamPlacement = field(init=False)
-    _caller: StreamReply = field(init=False)
-    _sends: SendAccount = field(init=False)
-    _pass: QuarantinePass = field(init=False)
-    _doubt: SilenceDoubt = field(init=False)
-    _open: dict[int, StreamAttempt] = field(factory=dict)
-    _refused: str = ""
+    _stream_reply: StreamReply = field(init=False)
+    _send_account: SendAccount = field(init=False)
+    _quarantine_pass: QuarantinePass = field(init=False)
+    _stall_check: StallCheck = field(init=False)
+    _open_attempts: dict[int, StreamAttempt] = field(factory=dict)
+    _refusal_code: str = ""
     _retry_after_ms: float = STREAM_RETRY_MS
 
     def __attrs_post_init__(self) -> None:
         context, call = self.context, self.call
         self._placement = StreamPlacement(context, self.reports, call)
-        self._caller = StreamReply(context, call, self.reply)
-        self._sends = SendAccount(context.budgets.of(call.pool))
-        self._pass = QuarantinePass(context.quarantine, call)
+        self._stream_reply = StreamReply(context, call, self.reply)
+        self._send_account = SendAccount(context.budgets.of(call.pool))
+        self._quarantine_pass = QuarantinePass(context.quarantine, call)
         self.core = AnswerCore(
             call.caller.request_id,
             Expected(call.pool, "", ""),
@@ -107,24 +107,28 @@
             context.reactor,
             context.clock,
             _OWN_PAUSE_MS,
-            silence_counts=self._silence_counts,
+            silence_counts=self._stalled_runs_lost,
         )
-        self._doubt = SilenceDoubt(
+        self._stall_check = StallCheck(
             context.clock,
             self.reports,
             context.lived,
             call.pool,
             call.caller.request_id,
             lambda endpoint_id: self.tell(EndpointSilent(endpoint_id)),
-            lambda: not self._sends.budget.is_spent(context.clock.now_ms()),
+            lambda: not self._send_account.budget.is_spent(context.clock.now_ms()),
         )
 
-    def _silence_counts(self) -> bool:
+    def _stalled_runs_lost(self) -> bool:
         """Say whether a run that is silent is lost by that."""
         if self.context.endpoints.link.full:
             return False
-        begun = [each.endpoint_id for each in self._open.values() if each.has_begun]
-        return self._doubt.counts(begun, self.core.ledger.next_position)
+        started_at = [
+            attempt.endpoint_id
+            for attempt in self._open_attempts.values()
+            if attempt.has_started
+        ]
+        return self._stall_check.runs_lost(started_at, self.core.ledger.next_position)
 
     def _policy(self) -> AnswerPolicy:
         """A stream that may not be resumed runs once, however long it is silent.
@@ -150,7 +154,7 @@
     def start(self) -> None:
         """Begin; the reply comes by itself."""
         self.reply.on_gone(self._caller_left)
-        self._sends.budget.requested(self.context.clock.now_ms())
+        self._send_account.budget.requested(self.context.clock.now_ms())
         self.tell(Started())
 
     def tell(self, event: Event) -> None:
@@ -159,8 +163,8 @@
 
     def event_taken(self, event: Event, actions: list[Action]) -> None:
         """Give back a place that is granted when a copy has taken the run up."""
-        if isinstance(event, Granted) and not _opens(actions):
-            self._placement.give_back(event.endpoint_id)
+        if isinstance(event, Granted) and not _opens_attempt(actions):
+            self._placement.release_grant(event.endpoint_id)
 
     def carry_out(self, action: Action, now_ms: float) -> None:
         """Do what the core asks for."""
@@ -172,7 +176,7 @@
             case CancelAttempt():
                 self._cancel(action.attempt)
             case Deliver():
-                self._caller.deliver(self.core.ledger.take())
+                self._stream_reply.deliver(self.core.ledger.take())
             case Complete():
                 self._complete()
             case Interrupt():
@@ -183,16 +187,16 @@
     # Searching.
 
     def _search(self, action: SeekEndpoint) -> None:
-        if self._refused:
+        if self._refusal_code:
             self._refuse()
         else:
-            self._placement.search(action, self._decided)
+            self._placement.search(action, self._placement_decided)
 
-    def _decided(self, decision: Decision) -> None:
+    def _placement_decided(self, decision: Decision) -> None:
         if isinstance(decision, Grant):
             self.tell(Granted(decision.endpoint_id))
             return
-        self._refused = decision.code
+        self._refusal_code = decision.code
         left_ms = self.call.due_ms - self.context.clock.now_ms()
         self._retry_after_ms = refusal_retry_ms(
             decision.code, decision.retry_after_ms, left_ms, self.context.random
@@ -202,8 +206,8 @@
     def _refuse(self) -> None:
         """There is nothing for the request, and its caller hears so at once."""
         run = self.core.run_state
-        self._caller.give_up(
-            refusal_without_endpoint(run, self._refused, self._retry_after_ms)
+        self._stream_reply.refuse_or_cut(
+            refusal_without_endpoint(run, self._refusal_code, self._retry_after_ms)
         )
         self.tell(Cancelled())
 
@@ -216,27 +220,27 @@
             return
         if action.way is not Way.COPY:
             # A copy's place wasn't granted: it is taken when the run is sent there.
-            self._placement.give_back(action.endpoint_id)
+            self._placement.release_grant(action.endpoint_id)
         self.tell(AttemptEnded(action.attempt, Loss.NOT_SENT))
 
     @property
-    def _begun(self) -> bool:
+    def _has_delivered(self) -> bool:
         """Say whether this request has given its caller an event."""
-        asked_from = self.call.caller.resume_after or 0
-        return self.core.ledger.next_position > asked_from
+        first_position = self.call.caller.resume_after or 0
+        return self.core.ledger.next_position > first_position
 
     def _may_send(self) -> bool:
         """Say whether a run may be sent now; if not, the next search is refused."""
-        if self._refused:
+        if self._refusal_code:
             return False
-        if not self.context.site.may_still_send(self.call, self._begun):
-            self._refused = "belief_old"
-        elif not self._pass.may_send():
-            self._refused = STOPS_ENDPOINTS
-            self._retry_after_ms = self._pass.barred_ms
+        if not self.context.site.may_still_send(self.call, self._has_delivered):
+            self._refusal_code = "belief_old"
+        elif not self._quarantine_pass.may_send():
+            self._refusal_code = STOPS_ENDPOINTS
+            self._retry_after_ms = self._quarantine_pass.barred_ms
             return False
-        elif not self._sends.may_send(self.context.clock.now_ms()):
-            self._refused = "retry_budget"
+        elif not self._send_account.may_send(self.context.clock.now_ms()):
+            self._refusal_code = "retry_budget"
         else:
             return True
         self._retry_after_ms = ELSEWHERE_RETRY_MS
@@ -252,11 +256,11 @@
             return False
         if not context.versions.may_have(record):
             return False
-        may_act = context.site.may_still_send(self.call, self._begun)
-        return may_act and self._pass.may_send()
+        may_act = context.site.may_still_send(self.call, self._has_delivered)
+        return may_act and self._quarantine_pass.may_send()
 
     def _send(self, action: OpenAttempt, record: EndpointRecord) -> None:
-        context, ways = self.context, self._caller.ways
+        context, ways = self.context, self._stream_reply.ways
         now_ms = context.clock.now_ms()
         ways.append(action.way.value)
         if action.way is Way.COPY:
@@ -270,17 +274,17 @@
             action.endpoint_id,
             action.way.value,
             context.routing.router.load(action.endpoint_id),
-            self._placement.asked,
+            self._placement.reports_requested,
             copy_to,
             context.versions.named(action.endpoint_id),
         )
         attempt = StreamAttempt(
             self, action.attempt, action.endpoint_id, action.way is Way.COPY, now_ms
         )
-        self._open[action.attempt] = attempt
-        attempt.open(self._outbound(action, record, copy_to, now_ms))
+        self._open_attempts[action.attempt] = attempt
+        attempt.open(self._outbound_request(action, record, copy_to, now_ms))
 
-    def _outbound(
+    def _outbound_request(
         self, action: OpenAttempt, record: EndpointRecord, copy_to: str, now_ms: float
     ) -> OutboundRequest:
         call, position = self.call, self.core.ledger.next_position
@@ -294,33 +298,33 @@
             copy_to=copy_to,
             copy_from=record.address if from_copy else "",
             copied_run=call.caller.request_id if from_copy else "",
-            urgent=len(self._caller.ways) > 1,
+            urgent=len(self._stream_reply.ways) > 1,
         )
 
     def _cancel(self, number: int) -> None:
-        attempt = self._open.pop(number, None)
+        attempt = self._open_attempts.pop(number, None)
         if attempt is None:
             return
-        if not self.core.ended and not self._caller.waits_for_recovery:
-            self.lost(attempt.lost_run("silent"))
-            self._doubt.given_up(attempt.endpoint_id)
+        if not self.core.ended and not self._stream_reply.is_recovering:
+            self.run_lost(attempt.loss_record("silent"))
+            self._stall_check.run_abandoned(attempt.endpoint_id)
         attempt.close()
 
     def is_open(self, number: int) -> bool:
         """Say whether the attempt is still one of the answer's."""
-        return number in self._open
+        return number in self._open_attempts
 
     def not_sent(self) -> None:
         """A run that was sent reached no endpoint."""
-        self._sends.not_sent()
+        self._send_account.not_sent()
 
-    def attempt_over(self, number: int) -> None:
+    def attempt_ended(self, number: int) -> None:
         """The attempt's connection ended by itself."""
-        self._open.pop(number, None)
+        self._open_attempts.pop(number, None)
 
-    def opened(self, attempt: int, head: ExchangeHead) -> None:
+    def stream_opened(self, attempt: int, head: ExchangeHead) -> None:
         """An endpoint answered with a stream of this request."""
-        self._caller.opened(head)
+        self._stream_reply.stream_opened(head)
         label = self.core.attempts[attempt].label
         position = self.core.attempts[attempt].from_position
         # What a head proves was judged by the dialect; the core's own checks of model
@@ -328,20 +332,20 @@
         checked = StreamHead(label, label, self.call.pool, "", "", "", position)
         self.tell(HeadArrived(attempt, checked))
 
-    def answered_otherwise(self, head: ExchangeHead, body: bytes) -> None:
+    def final_response_received(self, head: ExchangeHead, body: bytes) -> None:
         """An endpoint gave a final answer that isn't a stream."""
-        self._caller.answered_otherwise(head, body)
+        self._stream_reply.final_response_received(head, body)
         self.context.quarantine.proved_sound(self.call)
         self.tell(Cancelled())
 
-    def lost(self, lost: LostRun) -> None:
+    def run_lost(self, lost: LostRun) -> None:
         """An attempt was lost before the answer was whole."""
-        self._caller.lost(lost, self.core.ledger.next_position)
-        self._placement.lost(lost.endpoint_id)
-        self._tell_versions(lost)
+        self._stream_reply.run_lost(lost, self.core.ledger.next_position)
+        self._placement.run_lost(lost.endpoint_id)
+        self._record_version_outcome(lost)
         self.context.crashes.run_lost(self.call, lost)
 
-    def _tell_versions(self, lost: LostRun) -> None:
+    def _record_version_outcome(self, lost: LostRun) -> None:
         """A failure that the endpoint said is its own; others may share a cause."""
         versions = self.context.versions
         if lost.why.startswith("status_"):
@@ -352,31 +356,31 @@
     # Ends.
 
     def _complete(self) -> None:
-        self._caller.complete()
+        self._stream_reply.log_completed()
         self.context.quarantine.proved_sound(self.call)
         if self.call.caller.resume_after is None:
             took_ms = self.context.clock.now_ms() - self.call.arrived_ms
-            self.context.lengths.ended(self.call.route.name, took_ms)
+            self.context.lengths.stream_finished(self.call.route.name, took_ms)
         self._stop_work()
-        self._caller.finish()
+        self._stream_reply.finish()
 
     def _interrupt(self, action: Interrupt) -> None:
         code = "timeout" if action.code == "interrupted" else action.code
         self._stop_work()
         refusal = refusal_after_loss(action.run, code, self._retry_after_ms)
-        self._caller.give_up(refusal)
+        self._stream_reply.refuse_or_cut(refusal)
 
     def _caller_left(self) -> None:
         if not self.core.ended:
-            self._caller.caller_left()
+            self._stream_reply.caller_left()
             self.tell(Cancelled())
 
     def _stop_work(self) -> None:
         self._placement.stop()
-        for number in list(self._open):
+        for number in list(self._open_attempts):
             self._cancel(number)
         self._driver.stop_alarm()
 
 
-def _opens(actions: list[Action]) -> bool:
-    return any(isinstance(each, OpenAttempt) for each in actions)
+def _opens_attempt(actions: list[Action]) -> bool:
+    return any(isinstance(action, OpenAttempt) for action in actions)
--- a/src/coursekeel/gateway/streams/_successors.py
+++ b/src/coursekeel/gateway/streams/_successors.py
@@ -33,35 +33,40 @@
 
     context: GatewayContext
     reports: LoadReports
-    _asked: dict[str, list[_OnFound]] = field(factory=dict)
+    _pending: dict[str, list[_OnFound]] = field(factory=dict)
 
-    def find(self, endpoint_id: str, named: str, on_found: _OnFound) -> None:
+    def find(self, endpoint_id: str, successor_id: str, on_found: _OnFound) -> None:
         """``named`` answered in the endpoint's place; None if it can't be used."""
         directory = self.context.site.directory
-        known = directory.record(named)
-        old = directory.record(endpoint_id)
-        if known is not None or old is None or not named:
-            on_found(None if known is None or known.leaving else known)
+        record = directory.record(successor_id)
+        predecessor = directory.record(endpoint_id)
+        if record is not None or predecessor is None or not successor_id:
+            on_found(None if record is None or record.leaving else record)
             return
-        waiting = self._asked.setdefault(named, [])
-        waiting.append(on_found)
-        if len(waiting) == 1:
-            self._ask(old, named)
+        callbacks = self._pending.setdefault(successor_id, [])
+        callbacks.append(on_found)
+        if len(callbacks) == 1:
+            self._request_report(predecessor, successor_id)
 
-    def _ask(self, old: EndpointRecord, named: str) -> None:
-        def reported(report: EndpointReport | None) -> None:
-            found = self._judge(old, named, report)
-            for each in self._asked.pop(named):
-                each(found)
+    def _request_report(self, predecessor: EndpointRecord, successor_id: str) -> None:
+        def report_received(report: EndpointReport | None) -> None:
+            successor = self._adopt_if_confirmed(predecessor, successor_id, report)
+            for callback in self._pending.pop(successor_id):
+                callback(successor)
 
-        self.reports.ask_record(evolve(old, endpoint_id=named), reported)
+        self.reports.request_report_from(
+            evolve(predecessor, endpoint_id=successor_id), report_received
+        )
 
-    def _judge(
-        self, old: EndpointRecord, named: str, report: EndpointReport | None
+    def _adopt_if_confirmed(
+        self,
+        predecessor: EndpointRecord,
+        successor_id: str,
+        report: EndpointReport | None,
     ) -> EndpointRecord | None:
         site = self.context.site
         if report is None or site.routes is None:
             return None
-        if site.routes.pools_serving(report.models) != [old.pool]:
+        if site.routes.pools_serving(report.models) != [predecessor.pool]:
             return None
-        return site.adopt(old.endpoint_id, named)
+        return site.adopt(predecessor.endpoint_id, successor_id)
--- a/src/coursekeel/gateway/whole/_whole_task.py
+++ b/src/coursekeel/gateway/whole/_whole_task.py
@@ -50,10 +50,10 @@
 
 # The least that a try may take while another could follow, in aims of its route. Less
 # would give up answers that are merely slow.
-_LEAST_TRY_TARGETS = 1.5
+_MIN_TRY_TARGETS = 1.5
 
 # With less than this left a request isn't sent: no answer takes less.
-_LEAST_REMAINING_MS = 5.0
+_MIN_REMAINING_MS = 5.0
 
 # The log's status of a request whose caller left: none was given.
 _NO_STATUS = 0
@@ -67,13 +67,13 @@
     call: AdmittedRequest
     reply: CallerReply
     core: CallCore = field(init=False)
-    _sends: SendAccount = field(init=False)
-    _pass: QuarantinePass = field(init=False)
+    _send_account: SendAccount = field(init=False)
+    _quarantine_pass: QuarantinePass = field(init=False)
     _tried: set[str] = field(factory=set)
-    _number: int | None = None
-    _current: WholeTry | None = None
-    _deadline: Any = None
-    _code: str = ""
+    _request_number: int | None = None
+    _current_try: WholeTry | None = None
+    _deadline_timer: Any = None
+    _refusal_code: str = ""
     _retry_after_ms: float = WHOLE_RETRY_MS
 
     def __attrs_post_init__(self) -> None:
@@ -84,19 +84,21 @@
             retry_after_ms=int(WHOLE_RETRY_MS),
         )
         self.core = CallCore(policy, None, keyed=False)
-        self._sends = SendAccount(self.context.budgets.of(self.call.pool))
-        self._pass = QuarantinePass(self.context.quarantine, self.call)
+        self._send_account = SendAccount(self.context.budgets.of(self.call.pool))
+        self._quarantine_pass = QuarantinePass(self.context.quarantine, self.call)
 
     def start(self) -> None:
         """Begin; the reply comes by itself."""
         context = self.context
         self.reply.on_gone(self._caller_left)
         left_ms = self.call.due_ms - context.clock.now_ms()
-        self._deadline = context.reactor.callLater(max(left_ms, 0) / 1000, self._due)
-        self._sends.budget.requested(context.clock.now_ms())
-        self._tell(Begin())
+        self._deadline_timer = context.reactor.callLater(
+            max(left_ms, 0) / 1000, self._deadline_reached
+        )
+        self._send_account.budget.requested(context.clock.now_ms())
+        self._handle(Begin())
 
-    def _tell(self, event: CallEvent) -> None:
+    def _handle(self, event: CallEvent) -> None:
         for action in self.core.handle(event):
             self._carry_out(action)
 
@@ -105,7 +107,7 @@
             case Send():
                 self._search()
             case Reply():
-                self._final(action.reply)
+                self._send_reply(action.reply)
             case _:
                 raise AssertionError(f"no claim was asked for: {action}")
 
@@ -114,8 +116,8 @@
     def _search(self) -> None:
         """Search for an endpoint; a second one only if the retry budget has it."""
         now_ms = self.context.clock.now_ms()
-        if not self._sends.may_send(now_ms):
-            self._no_endpoint("retry_budget")
+        if not self._send_account.may_send(now_ms):
+            self._placement_refused("retry_budget")
             return
         request = PlacementRequest(
             team=self.call.team_name,
@@ -126,65 +128,69 @@
             deadline_ms=queue_deadline_ms(self.call, now_ms),
             excluded=frozenset(self._tried),
         )
-        self._number = self.context.routing.place(request, self._decided)
+        self._request_number = self.context.routing.place(
+            request, self._placement_decided
+        )
 
-    def _decided(self, decision: Decision) -> None:
-        self._number = None
+    def _placement_decided(self, decision: Decision) -> None:
+        self._request_number = None
         if not isinstance(decision, Grant):
             left_ms = self.call.due_ms - self.context.clock.now_ms()
             self._retry_after_ms = refusal_retry_ms(
                 decision.code, decision.retry_after_ms, left_ms, self.context.random
             )
-            self._sends.not_sent()
-            self._no_endpoint(decision.code)
+            self._send_account.not_sent()
+            self._placement_refused(decision.code)
             return
         self._tried.add(decision.endpoint_id)
         self._send(decision.endpoint_id)
 
-    def _no_endpoint(self, code: str) -> None:
-        self._code = code
-        self._tell(SendEnded(SendOutcome.NO_ENDPOINT))
+    def _placement_refused(self, code: str) -> None:
+        self._refusal_code = code
+        self._handle(SendEnded(SendOutcome.NO_ENDPOINT))
 
     def _send(self, endpoint_id: str) -> None:
-        record = self._reachable(endpoint_id)
-        code = self._refused_code()
+        record = self._record_in_time(endpoint_id)
+        code = self._current_refusal_code()
         if record is None:
-            self._give_back(endpoint_id)
-            self._tell(SendEnded(SendOutcome.NOT_SENT))
+            self._release_grant(endpoint_id)
+            self._handle(SendEnded(SendOutcome.NOT_SENT))
         elif code:
             if code == STOPS_ENDPOINTS:
-                self._retry_after_ms = self._pass.barred_ms
-            self._give_back(endpoint_id)
-            self._no_endpoint(code)
+                self._retry_after_ms = self._quarantine_pass.barred_ms
+            self._release_grant(endpoint_id)
+            self._placement_refused(code)
         else:
             self._open_try(record)
 
-    def _reachable(self, endpoint_id: str) -> EndpointRecord | None:
+    def _record_in_time(self, endpoint_id: str) -> EndpointRecord | None:
         """The endpoint's record, while an answer can still come from there in time."""
         record = self.context.site.directory.record(endpoint_id)
-        return record if self._remaining_ms >= _LEAST_REMAINING_MS else None
+        return record if self._remaining_ms >= _MIN_REMAINING_MS else None
 
     @property
     def _remaining_ms(self) -> float:
         return self.call.due_ms - self.context.clock.now_ms()
 
-    def _refused_code(self) -> str:
+    def _current_refusal_code(self) -> str:
         """Why the request may be sent nowhere now; empty if it may be."""
         if not self.context.site.may_still_send(self.call):
             return "belief_old"
-        return "" if self._pass.may_send() else STOPS_ENDPOINTS
+        return "" if self._quarantine_pass.may_send() else STOPS_ENDPOINTS
 
     def may_still_send(self, endpoint_id: str) -> bool:
         """Say whether the request may be sent there, now that its connection stands."""
-        record = self._reachable(endpoint_id)
+        record = self._record_in_time(endpoint_id)
         if record is None or record.leaving:
             return False
-        return self.context.versions.may_have(record) and not self._refused_code()
+        return (
+            self.context.versions.may_have(record) and not self._current_refusal_code()
+        )
 
-    def _give_back(self, endpoint_id: str) -> None:
+    def _release_grant(self, endpoint_id: str) -> None:
         prompt_tokens = self.call.caller.prompt_tokens
         self.context.routing.returned(endpoint_id, prompt_tokens)
-        self._sends.not_sent()
+        self._send_account.not_sent()
 
     def _open_try(self, record: EndpointRecord) -> None:
         remaining_ms = self._remaining_ms
@@ -195,8 +201,8 @@
         outbound = OutboundRequest(
             record, call.caller.request_id, call.team_name, remaining_ms
         )
-        self._current = WholeTry(self, self.context, call, endpoint_id)
-        self._current.open(outbound, self._try_limit_ms(remaining_ms))
+        self._current_try = WholeTry(self, self.context, call, endpoint_id)
+        self._current_try.open(outbound, self._try_limit_ms(remaining_ms))
 
     def _try_limit_ms(self, remaining_ms: float) -> float | None:
         """Give up a try: how long it may take while another could still follow it.
@@ -205,65 +211,65 @@
         the route's aim. None for the last try, and for what may not be sent again.
         """
         route = self.call.route
-        last = len(self._tried) >= route.tries
-        if last or route.kind is not RouteKind.REPEATABLE:
+        is_last_try = len(self._tried) >= route.tries
+        if is_last_try or route.kind is not RouteKind.REPEATABLE:
             return None
         tries_left = route.tries - len(self._tried) + 1
-        return max(remaining_ms / tries_left, _LEAST_TRY_TARGETS * route.target_ms)
+        return max(remaining_ms / tries_left, _MIN_TRY_TARGETS * route.target_ms)
 
     def try_ended(self, outcome: ServiceReply | SendOutcome) -> None:
         """The try under way came to its end."""
-        if self._current is not None and not self._current.arrived:
-            self._sends.not_sent()
-        self._current = None
-        self._tell(SendEnded(outcome))
+        if self._current_try is not None and not self._current_try.may_have_arrived:
+            self._send_account.not_sent()
+        self._current_try = None
+        self._handle(SendEnded(outcome))
 
     # Ends.
 
-    def _final(self, word: CallReply) -> None:
-        self._stop_deadline()
-        reply = word.reply
+    def _send_reply(self, call_reply: CallReply) -> None:
+        self._cancel_deadline_timer()
+        reply = call_reply.reply
         if reply is not None:
             self._log_end("answered", reply.status)
             self.context.quarantine.proved_sound(self.call)
             self.reply.whole(reply.status, reply.headers, reply.body)
             return
-        not_run = word.run is RunState.NOT_RUN
-        code = self._code or word.code if not_run else word.code
-        self._give_up(refusal_after_loss(word.run, code, self._retry_after_ms))
+        not_run = call_reply.run is RunState.NOT_RUN
+        code = self._refusal_code or call_reply.code if not_run else call_reply.code
+        self._refuse(refusal_after_loss(call_reply.run, code, self._retry_after_ms))
 
-    def _due(self) -> None:
+    def _deadline_reached(self) -> None:
         """The route's or the caller's time is over: the reply comes now."""
-        self._deadline = None
-        may_have_run = self._current is not None or self.core.may_have_run
+        self._deadline_timer = None
+        may_have_run = self._current_try is not None or self.core.may_have_run
         self._stop_work()
         if may_have_run:
-            self._give_up(refusal_after_loss(RunState.UNKNOWN, "timeout", 0))
+            self._refuse(refusal_after_loss(RunState.UNKNOWN, "timeout", 0))
         else:
             refusal = refusal_after_loss(RunState.NOT_RUN, "too_late", WHOLE_RETRY_MS)
-            self._give_up(refusal)
+            self._refuse(refusal)
 
-    def _give_up(self, refusal: GatewayRefusal) -> None:
+    def _refuse(self, refusal: GatewayRefusal) -> None:
         self._log_end(refusal.code, refusal.status)
         self.reply.refuse(refusal)
 
     def _caller_left(self) -> None:
         self._log_end("caller_left", _NO_STATUS)
-        self._stop_deadline()
+        self._cancel_deadline_timer()
         self._stop_work()
 
     def _stop_work(self) -> None:
-        if self._number is not None:
-            self.context.routing.withdraw(self._number)
-            self._number = None
-        if self._current is not None:
-            self._current.abandon()
-            self._current = None
-
-    def _stop_deadline(self) -> None:
-        if self._deadline is not None:
-            self._deadline.cancel()
-            self._deadline = None
+        if self._request_number is not None:
+            self.context.routing.withdraw(self._request_number)
+            self._request_number = None
+        if self._current_try is not None:
+            self._current_try.abandon()
+            self._current_try = None
+
+    def _cancel_deadline_timer(self) -> None:
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
+            self._deadline_timer = None
 
     def _log_end(self, code: str, status: int) -> None:
         self.context.metrics.ended(self.call, code, status, len(self._tried))
--- a/src/coursekeel/gateway/whole/_whole_try.py
+++ b/src/coursekeel/gateway/whole/_whole_try.py
@@ -41,10 +41,10 @@
     context: GatewayContext
     call: AdmittedRequest
     endpoint_id: str
-    arrived: bool = True
+    may_have_arrived: bool = True
     _started_ms: float = field(init=False)
     _exchange: Exchange | None = None
-    _limit: Any = None
+    _limit_timer: Any = None
     _head: ExchangeHead | None = None
     _body: list[bytes] = field(factory=list)
 
@@ -55,7 +55,9 @@
         """Send; after ``limit_ms`` without a whole answer the try is given up."""
         context = self.context
         if limit_ms is not None:
-            self._limit = context.reactor.callLater(limit_ms / 1000, self._too_long)
+            self._limit_timer = context.reactor.callLater(
+                limit_ms / 1000, self._limit_reached
+            )
         self._exchange = context.endpoints.send(self.call, outbound, self)
 
     def may_send(self) -> bool:
@@ -68,13 +70,13 @@
         self._body.append(data)
 
     def ended(self, ending: Ending, reason: str) -> None:
-        self._stop_limit()
+        self._cancel_limit_timer()
         outcome = self._outcome(ending, reason)
         failed = not isinstance(outcome, ServiceReply) or outcome.failed
         self._log(outcome)
-        self._tell_versions(outcome)
+        self._record_version_outcome(outcome)
         if ending in (Ending.CUT, Ending.NO_ANSWER):
-            self._tell_lost(reason)
+            self._report_run_lost(reason)
         if not failed:
             router = self.context.routing.router
             router.succeeded(self.endpoint_id, self.call.route.name)
@@ -86,7 +88,7 @@
 
     def abandon(self) -> None:
         """Nobody waits for the answer any more."""
-        self._stop_limit()
+        self._cancel_limit_timer()
         if self._exchange is not None:
             self._exchange.abort()
         self._release(failed=False)
@@ -95,11 +97,11 @@
         """What the end proves of the request; in doubt, that it may have run."""
         context = self.context
         if ending is Ending.WITHHELD:
-            self.arrived = False
+            self.may_have_arrived = False
             return SendOutcome.NOT_SENT
         if ending is Ending.NOT_SENT:
             context.health.unreachable(self.endpoint_id, reason)
-            self.arrived = False
+            self.may_have_arrived = False
             return SendOutcome.NOT_SENT
         if self._head is None:
             return SendOutcome.MAYBE_SENT
@@ -128,7 +130,7 @@
             return
         self.context.metrics.try_ended(self.call, self.endpoint_id, result)
 
-    def _tell_versions(self, outcome: ServiceReply | SendOutcome) -> None:
+    def _record_version_outcome(self, outcome: ServiceReply | SendOutcome) -> None:
         """What an endpoint turned away says nothing of its version."""
         versions = self.context.versions
         if isinstance(outcome, ServiceReply):
@@ -137,15 +139,15 @@
         elif outcome is SendOutcome.MAYBE_SENT:
             versions.lost(self.call, self.endpoint_id)
 
-    def _tell_lost(self, reason: str) -> None:
+    def _report_run_lost(self, reason: str) -> None:
         ran_ms = None
         if self._head is not None:
             ran_ms = self.context.clock.now_ms() - self._started_ms
         lost = LostRun(self.endpoint_id, reason, ran_ms)
         self.context.crashes.run_lost(self.call, lost)
 
-    def _too_long(self) -> None:
-        self._limit = None
+    def _limit_reached(self) -> None:
+        self._limit_timer = None
         assert self._exchange is not None
         self._exchange.abort()
         self._release(failed=True)
@@ -157,7 +159,7 @@
         run_ms = self.context.clock.now_ms() - self._started_ms
         self.context.routing.released(self.endpoint_id, run_ms, failed)
 
-    def _stop_limit(self) -> None:
-        if self._limit is not None:
-            self._limit.cancel()
-            self._limit = None
+    def _cancel_limit_timer(self) -> None:
+        if self._limit_timer is not None:
+            self._limit_timer.cancel()
+            self._limit_timer = None
--- a/tests/cover/test_crash_watch.py
+++ b/tests/cover/test_crash_watch.py
@@ -33,7 +33,9 @@
             self.put(f"e{number}")
         self.sinks = []
         client = Mock(link=Mock(full=False))
-        client.ask = lambda record, call, sink, limit: self.sinks.append(sink) or Mock()
+        client.send_probe = lambda record, call, sink, limit: (
+            self.sinks.append(sink) or Mock()
+        )
         self.told: list = []
         self.quarantine = Quarantine()
         self.gate = QuarantineGate(clock, self.quarantine, self.told.extend, Mock())
--- a/tests/cover/test_silence_doubt.py
+++ b/tests/cover/test_stall_check.py
@@ -4,7 +4,7 @@
 
 from coursekeel.gateway._adapters import EndpointReport
 from coursekeel.gateway.endpoints._lived_silences import LivedSilences
-from coursekeel.gateway.streams._silence_doubt import SilenceDoubt
+from coursekeel.gateway.streams._stall_check import StallCheck
 
 NAMED = EndpointReport(3, 0, runs=frozenset({"r1"}))
 OTHERS = EndpointReport(3, 0, runs=frozenset({"r2"}))
@@ -19,8 +19,10 @@
         self.gone: list[str] = []
         self.repeats = True
         self.seen = seen or LivedSilences()
-        reports = Mock(ask=lambda each, told: self.asked.append((each, told)))
-        self.doubt = SilenceDoubt(
+        reports = Mock(
+            request_report=lambda each, told: self.asked.append((each, told))
+        )
+        self.doubt = StallCheck(
             Mock(now_ms=lambda: self.now_ms),
             reports,
             self.seen,
@@ -32,7 +34,7 @@
 
     def silent(self, position: int = 7) -> bool:
         self.now_ms += 280
-        return self.doubt.counts(["e1"], position)
+        return self.doubt.runs_lost(["e1"], position)
 
     def answer(self, report: EndpointReport | None) -> None:
         _, told = self.asked.pop()
@@ -41,7 +43,7 @@
 
 def busy() -> Doubted:
     seen = LivedSilences()
-    seen.lived("p", 0.0)
+    seen.record_alive("p", 0.0)
     return Doubted(seen)
 
 
@@ -53,10 +55,10 @@
 
 def test_after_a_loss_the_endpoint_is_asked_and_a_live_one_is_remembered():
     stream = Doubted()
-    stream.doubt.given_up("e1")
+    stream.doubt.run_abandoned("e1")
     stream.answer(None)
     assert stream.silent(), "it is gone: others are given up as soon"
-    stream.doubt.given_up("e1")
+    stream.doubt.run_abandoned("e1")
     stream.answer(OTHERS)
     assert not stream.silent()
     stream.now_ms += 30_000
--- a/tests/cover/test_stop_window.py
+++ b/tests/cover/test_stop_window.py
@@ -14,7 +14,7 @@
 from coursekeel.gateway.admission._stop_window import StopWindow
 from coursekeel.gateway.admission._stream_lengths import StreamLengths
 
-WINDOW = StopWindow(begun_ms=1_000.0, settled_ms=3_600.0, last_ms=8_500.0)
+WINDOW = StopWindow(started_ms=1_000.0, settled_ms=3_600.0, last_ms=8_500.0)
 CALL = Route(
     "r", "h", "/r/", RouteKind.SINGLE, (PoolShare("p"),), timeout_ms=800, target_ms=300
 )
@@ -35,43 +35,45 @@
 )
 def test_a_call_needs_its_routes_time_before_the_end(now_ms, timeout_ms, taken):
     route = evolve(CALL, timeout_ms=timeout_ms)
-    assert WINDOW.leaves_time_for(route, now_ms) is taken
+    assert WINDOW.has_time_for(route, now_ms) is taken
 
 
 @pytest.mark.parametrize("kind", [RouteKind.STREAM, RouteKind.RESUMABLE])
 @pytest.mark.parametrize("now_ms, taken", [(1_500, True), (2_000, False)])
 def test_a_stream_has_no_bound_and_must_begin_early(kind, now_ms, taken):
-    assert WINDOW.leaves_time_for(evolve(CALL, kind=kind), now_ms) is taken
+    assert WINDOW.has_time_for(evolve(CALL, kind=kind), now_ms) is taken
 
 
 @pytest.mark.parametrize(
-    "long_ms, now_ms, taken",
+    "upper_estimate_ms, now_ms, taken",
     [(2_000, 6_400, True), (2_000, 6_600, False), (9_000, 1_001, False)],
 )
-def test_a_stream_is_taken_if_a_long_one_can_still_end(long_ms, now_ms, taken):
+def test_a_stream_is_taken_if_a_long_one_can_still_end(
+    upper_estimate_ms, now_ms, taken
+):
     """Seen on played days: streams that came within 0.8 s after SIGTERM were taken and
     cut at the end of the grace, since a long one took longer than that."""
     stream = evolve(CALL, kind=RouteKind.RESUMABLE)
-    assert WINDOW.leaves_time_for(stream, now_ms, long_ms) is taken
+    assert WINDOW.has_time_for(stream, now_ms, upper_estimate_ms) is taken
 
 
 def test_how_long_streams_take_is_learned_by_route():
     lengths = StreamLengths()
-    assert lengths.long_ms("a") is None
+    assert lengths.upper_estimate_ms("a") is None
     for took_ms in [6_000, 7_000] * 30:
-        lengths.ended("a", took_ms)
-    assert 7_000 < lengths.long_ms("a") < 8_500
-    assert lengths.long_ms("b") is None
+        lengths.stream_finished("a", took_ms)
+    assert 7_000 < lengths.upper_estimate_ms("a") < 8_500
+    assert lengths.upper_estimate_ms("b") is None
 
 
 @pytest.mark.parametrize("alone, least_ms", [(False, 50), (True, 2_600)])
 def test_a_stream_that_would_come_back_here_is_told_when_it_would_not(alone, least_ms):
     lengths = StreamLengths()
-    lengths.ended("r", 9_000)
+    lengths.stream_finished("r", 9_000)
     route = evolve(CALL, kind=RouteKind.RESUMABLE, anonymous=True)
     table = RouteTable(ForwardingConfiguration(routes=(route,)))
     given = Admission(
-        table, 0.0, 1e9, 1e9, 1, 9, WINDOW, WINDOW.begun_ms, lengths, alone
+        table, 0.0, 1e9, 1e9, 1, 9, WINDOW, WINDOW.started_ms, lengths, alone
     )
     refusal = admit(Arrival("h", "/r/x", ""), given)
     assert (refusal.status, refusal.code) == (503, "stopping")
--- a/tests/cover/test_stream_placement.py
+++ b/tests/cover/test_stream_placement.py
@@ -124,9 +124,9 @@
         )
         self.reports = Mock()
         self.successors = Successors(self.context, self.reports)
-        self.reports.ask_all = lambda asked, done: done()
+        self.reports.request_reports = lambda asked, done: done()
         self.kept_at: frozenset[str] = frozenset()
-        self.reports.ask_kept = lambda asked, key, done: done(self.kept_at)
+        self.reports.find_cached_prompt = lambda asked, key, done: done(self.kept_at)
         self.reply = Mock(head_sent=False)
 
     def start(
@@ -252,7 +252,7 @@
         site.context, site.reports, site.successors, call, Mock(head_sent=False)
     )
     before = site.held()
-    site.reports.ask_all = Mock()
+    site.reports.request_reports = Mock()
     task.start()
     site.directory.remove("e1", at(2))
     site.router.sent_to_copy("e1")
@@ -412,7 +412,7 @@
 
 
 def test_a_stream_from_its_start_asks_nobody_whether_its_prompt_is_kept(site):
-    site.reports.ask_kept = Mock()
+    site.reports.find_cached_prompt = Mock()
     site.start()
-    site.reports.ask_kept.assert_not_called()
+    site.reports.find_cached_prompt.assert_not_called()
     assert len(site.client.sent) == 1
--- a/tests/cover/test_successors.py
+++ b/tests/cover/test_successors.py
@@ -83,11 +83,11 @@
         self.asked: list[EndpointRecord] = []
         report = EndpointReport(0, 0, models=models)
 
-        def ask_record(record, on_report):
+        def request_report_from(record, on_report):
             self.asked.append(record)
             on_report(report)
 
-        self.reports.ask_record = ask_record
+        self.reports.request_report_from = request_report_from
         self.client.dialect.incarnation_named = Mock(return_value="x9")
 
     def lose_the_run(self) -> None:
