--- a/src/coursekeel/gateway/streams/__init__.py
+++ b/src/coursekeel/gateway/streams/__init__.py
@@ -1,3 +1,3 @@
-"""Answers that are streams: their runs, where these go, and what callers get."""
+"""Streamed answers: their runs, the placement of runs, and the reply to the caller."""
 
 __all__: list[str] = []
--- a/src/coursekeel/gateway/streams/_first_event_watch.py
+++ b/src/coursekeel/gateway/streams/_begin_watch.py
@@ -1,10 +1,11 @@
-"""Give up a run before its first event: the endpoint's report is its only sign of life.
+"""Detect a run that is lost before its first event.
 
-Rule: reading a long prompt takes a second or more, in which a run is silent. It is lost
-if two reports in a row are missing, or show no trace of a run that was long sent. After
-its first event the core judges its silence (`silence_ms`).
+Rule: prefill of a long prompt takes a second or more, in which a run sends nothing, so
+the endpoint's load report is requested instead. The run is lost if two reports in a row
+are missing or don't list a run that they should list by then. After the first event
+the core applies `silence_ms`.
 
-Owns the questions after one run's endpoint. Relies on `LoadReports` to ask.
+Owns the timer for the next report request. Relies on `LoadReports` for the reports.
 """
 
 from collections.abc import Callable
@@ -20,24 +21,22 @@
 
 __all__ = ["FirstEventWatch"]
 
-# When an endpoint is first asked after a run that hasn't begun, and then again. A pause
-# of 700 ms makes a stream nearly worthless to its caller (the usual aim for gaps), so
-# that two questions must fit into not much more; each costs a connection.
+# Delay before the first report request, and between requests. Two requests should end
+# soon after 700 ms, the usual target for gaps in a stream; each opens a connection.
 _FIRST_REQUEST_MS = 450.0
-_REQUEST_INTERVAL_MS = 400.0  # see above
-# One missing report may be the question's own fault.
+_REQUEST_INTERVAL_MS = 400.0
+# One missing report may be a failure of the request for it.
 _MISSED_REPORTS_LIMIT = 2
-# A report lags by about 200 ms; after so long a run that was taken is in it. Without
-# this rule streams waited 18 s at endpoints that never began them
-# (`platform/test_translation.py`).
+# Reports lag by about 200 ms; after this time an accepted run must be listed.
 _MAX_REPORT_LAG_MS = 700.0
 
 
 @define(eq=False)
 class FirstEventWatch:
-    """Watches one run until it begins; ``lost`` is called once if it must be given up.
+    """Watches one run until its first event; calls ``on_lost`` once if it is lost.
 
-    It gets the last report, None if there was none.
+    ``on_lost`` gets the last report, None if the endpoint gave none. Reports list the
+    run under ``run_id``.
     """
 
     reactor: Reactor
@@ -52,13 +51,13 @@
     _next_request: Any = None
 
     def start(self) -> None:
-        """The run was sent."""
+        """Start watching; called right after the run was sent."""
         self._sent_ms = self.clock.now_ms()
         self._watching = True
         self._schedule_request(_FIRST_REQUEST_MS)
 
     def stop(self) -> None:
-        """The run has begun, or is over."""
+        """Stop watching: the first event has arrived, or the run has ended."""
         self._watching = False
         request = self._next_request
         if request is not None and request.active():
@@ -83,10 +82,10 @@
         self._schedule_request(_REQUEST_INTERVAL_MS if report is not None else 0.0)
 
     def _run_missing_from(self, report: EndpointReport) -> bool:
-        """Say whether the endpoint shows no trace of a run it has long been sent.
+        """Return True if ``report`` should list the run by now and doesn't.
 
-        An endpoint in good health once took requests and never ran them; the caller's
-        own patience was the only end, after 18 s.
+        Guards against an endpoint that accepts requests and never runs them. False if
+        the report has no ``unread_runs``, or counts runs that haven't started.
         """
         waited_ms = self.clock.now_ms() - self._sent_ms
         if waited_ms < _MAX_REPORT_LAG_MS or report.unread_runs is None:
--- a/src/coursekeel/gateway/streams/_placement.py
+++ b/src/coursekeel/gateway/streams/_placement.py
@@ -1,10 +1,10 @@
-"""Place: where a stream's runs and their copies go.
+"""Place a stream's runs, and the copies of their memory, on endpoints.
 
-Rule for a run: a few endpoints are asked for their load, and routing chooses among
-those that answer. New work waits for an endpoint as long as `queue_deadline_ms` says; a
-stream that has begun waits until its time is over, since nobody else can go on with it
-more cheaply. Rule for a copy: `KnownEndpoints.for_copy`, and only of streams that may
-be resumed, in pools that keep copies.
+Rule for a run: a few endpoints are asked for their load reports, then routing chooses.
+A new request waits in the queue until `queue_deadline_ms`; a stream that has begun
+waits until its own deadline, since another instance would have to read its prompt
+again. Rule for a copy: `KnownEndpoints.for_copy`, for resumable routes only, in pools
+that keep copies.
 
 Owns one stream's search, the zones where it lost runs, and the addresses of its copies.
 """
@@ -23,22 +23,17 @@
 
 __all__ = ["StreamPlacement"]
 
-# How many endpoints are asked for their load before a stream is placed: the prompt's
-# own, one of another zone, one by lot. Questions cost 0.003 of a quiet day's worth, and
-# find dead endpoints before 8,000 tokens are sent there (docs/design/platform.md). One
-# in place of three lets one stream in five of 195 instances wait for another's prompt;
-# 5 and 8 shorten streams by 1 and 2 in 100, but then instances with the same old
-# reports meet at the emptiest, and one in twenty waits (`test_fleet_load.py`, 40 s).
+# How many endpoints are asked for a load report before a stream is placed: the one that
+# the prompt's hash maps to, one of another zone, one at random. It also finds crashed
+# endpoints before a long prompt is sent there (docs/design/platform.md). With more,
+# instances that have the same old reports pick the same least loaded endpoint.
 _LOAD_REQUESTS = 3
 
-# How many are asked whether they keep the prompt of a stream that comes back: all of a
-# small site's. With streams refused that a stop would cut (`StopWindow`), it took
-# prompts read for nothing from 0.041 to 0.026 of a day's worth, and the mean worth from
-# 0.636 to 0.665 (20 days with trouble, four seeds each). Other numbers were not tried.
+# How many endpoints are asked whether they have the prompt of a resumed stream in their
+# cache; on a small site, all of them.
 _CACHED_PROMPT_REQUESTS = 16
 
-# The cost of a request whose caller says nothing of its tokens, for fairness among
-# teams: it must be more than nothing.
+# The cost, for fair queueing among teams, of a request without token counts; not 0.
 _DEFAULT_COST_TOKENS = 1.0
 
 _OnDecision = Callable[[Decision], None]
@@ -46,7 +41,7 @@
 
 @define(eq=False)
 class StreamPlacement:
-    """Looks for endpoints for one stream: asks some for their load, then routing."""
+    """Finds endpoints for one stream's runs and copies, one search at a time."""
 
     context: GatewayContext
     reports: LoadReports
@@ -61,11 +56,11 @@
 
     @property
     def reports_requested(self) -> int:
-        """How many endpoints were asked for their load at the last search."""
+        """How many endpoints were asked for a load report in the last search."""
         return len(self._request.asked) if self._request else 0
 
     def search(self, action: SeekEndpoint, on_decision: _OnDecision) -> None:
-        """Search for an endpoint; ``decided`` is called once unless `stop` is."""
+        """Search for an endpoint; call ``on_decision`` once unless stopped."""
         now_ms = self.context.clock.now_ms()
         request = self._request = self._placement_request(action, now_ms)
         self._searching = True
@@ -134,35 +129,35 @@
             on_decision(decision)
 
         number = self.context.routing.place(self._request, decision_made)
-        # The decision may have come already.
+        # `place` may have called `decision_made` before it returned.
         self._request_number = number if self._searching else None
 
     def stop(self) -> None:
-        """Search no more."""
+        """Cancel the search."""
         self._searching = False
         if self._request_number is not None:
             self.context.routing.withdraw(self._request_number)
             self._request_number = None
 
     def release_grant(self, endpoint_id: str) -> None:
-        """A granted place isn't used."""
+        """Return a granted slot that is not used to routing."""
         self.context.routing.returned(endpoint_id, self.call.caller.prompt_tokens)
 
     def record_for(self, action: OpenAttempt) -> EndpointRecord | None:
-        """The endpoint to send to, None if it may not have the run."""
+        """Return the endpoint to send to, None if the run may not be sent there."""
         directory = self.context.site.directory
         if action.way is not Way.COPY:
             return directory.record(action.endpoint_id)
-        # A copy lies at an address: when it was placed, the list may still have named
-        # the incarnation before the one that took it. By now the endpoint may be
-        # leaving, or another pool's may have the address.
+        # A copy is looked up by address: the incarnation that accepted it may be newer
+        # than the one listed when it was placed. By now the endpoint may be leaving, or
+        # the address may belong to another pool.
         record = directory.at_address(self._copy_addresses.get(action.endpoint_id, ""))
         if record is None or record.leaving or record.pool != self.call.pool:
             return None
         return record if self.context.versions.may_have(record) else None
 
     def place_copy(self, action: OpenAttempt) -> EndpointRecord | None:
-        """Choose who keeps a copy of a run; None if nobody does."""
+        """Choose the endpoint that keeps a copy of a run; None if there is none."""
         resumable = self.call.route.kind is RouteKind.RESUMABLE
         if not self.call.copies or not resumable or self._request is None:
             return None
@@ -176,7 +171,7 @@
         return record
 
     def run_lost(self, endpoint_id: str) -> None:
-        """A run was lost there: this stream avoids its zone from now on."""
+        """Report a lost run; this stream avoids the endpoint's zone from now on."""
         self.context.health.run_lost(self.call.pool, endpoint_id)
         record = self.context.site.directory.record(endpoint_id)
         if record is not None:
--- a/src/coursekeel/gateway/streams/_stall_check.py
+++ b/src/coursekeel/gateway/streams/_silence_doubt.py
@@ -1,14 +1,12 @@
-"""Doubt a run that has begun and fell silent: is its endpoint gone, or only busy?
+"""Decide whether a run that stalled after its first event is lost.
 
-Rule: after `silence_ms` a run is given up, unless its pool's endpoints were lately seen
-to live through such a silence. Then the endpoint is asked for its report: without one
-the run is given up at once, and a run that it names is waited for a few times as long,
-and while no repeat is left for as long as it is named. Reason: on some engines a long
-prompt that is being read holds up all that run beside it for longer than the silence
-that shows others' deaths soonest. Giving those runs up cost prompts read anew, and at
-last streams of sound endpoints once the retry budget was spent.
+Rule: a run without an event for `silence_ms` is lost, unless endpoints of its pool were
+recently found alive during such a stall. Then the endpoint's report is requested: the
+run is lost if there is no report or the report doesn't list it; a listed run gets a few
+times `silence_ms`, and as long as it is listed while the retry budget is spent. Reason:
+on some engines the prefill of a long prompt stalls all runs beside it.
 
-Owns what one stream asked since its last event. Relies on `LoadReports` to ask.
+Owns the count of one stream's stalls since its last event. Relies on `LoadReports`.
 """
 
 from collections.abc import Callable
@@ -22,15 +20,16 @@
 
 __all__ = ["StallCheck"]
 
-# A silence of four times `silence_ms` is over the pause that callers bear anyway.
+# Four times `silence_ms` is longer than the gap that callers accept.
 _MAX_STALLS = 4
 
 
 @define(eq=False)
 class StallCheck:
-    """One stream's; ``gone`` is told of an endpoint that is to be given up.
+    """Checks one stream's stalled runs.
 
-    ``may_repeat`` says whether the stream could be sent again.
+    ``on_lost`` is called with the id of an endpoint whose run is lost; ``may_repeat``
+    returns whether the retry budget allows the stream to be sent again.
     """
 
     clock: Clock
@@ -44,9 +43,10 @@
     _stalls: int = 0
 
     def runs_lost(self, endpoint_ids: list[str], position: int) -> bool:
-        """Say whether the runs at these endpoints are lost by their silence.
+        """Return True if the stalled runs at these endpoints are lost right now.
 
-        ``position`` is the number of the stream's last event.
+        Otherwise requests the endpoints' reports; ``on_lost`` may follow. ``position``
+        is the stream's position in events: a change starts the count again.
         """
         if not endpoint_ids or not self.silences.recently_alive(
             self.pool, self.clock.now_ms()
@@ -62,7 +62,7 @@
         return False
 
     def run_abandoned(self, endpoint_id: str) -> None:
-        """A run was given up as silent: learn whether its endpoint lives."""
+        """Find out whether the endpoint of a run abandoned as stalled is alive."""
         if self.silences.recently_alive(self.pool, self.clock.now_ms()):
             return
 
--- a/src/coursekeel/gateway/streams/_stream_attempt.py
+++ b/src/coursekeel/gateway/streams/_stream_attempt.py
@@ -1,10 +1,10 @@
-"""One run of a stream at one endpoint: reads its events, and gives it up in time.
+"""One run of a stream at one endpoint: reads its events and detects its loss.
 
-Give up: before the first event as `BeginWatch` says; after it the core judges the run's
-silence (`silence_ms`). A connection that is reset, an event without a number and an
-answer that isn't the request's own lose a run at once.
+Rule: before the first event `FirstEventWatch` decides whether the run is lost; after it
+the core applies `silence_ms`. A reset connection, an event without a number and a
+response that doesn't belong to the request lose the run at once.
 
-Owns the exchange and what of an event is still incomplete.
+Owns the exchange and the bytes of the incomplete last event.
 """
 
 from abc import ABC, abstractmethod
@@ -38,14 +38,14 @@
 from coursekeel.gateway._metrics import LostRun
 from coursekeel.gateway._request import AdmittedRequest
 from coursekeel.gateway.endpoints._load_reports import LoadReports
-from coursekeel.gateway.streams._first_event_watch import FirstEventWatch
+from coursekeel.gateway.streams._begin_watch import FirstEventWatch
 from coursekeel.gateway.streams._successors import Successors
 
 __all__ = ["AttemptOwner", "StreamAttempt"]
 
 
 class AttemptOwner(ABC):
-    """The answer that an attempt belongs to."""
+    """The stream's task that an attempt belongs to."""
 
     context: GatewayContext
     reports: LoadReports
@@ -55,40 +55,43 @@
 
     @abstractmethod
     def tell(self, event: Event) -> None:
-        """Take an event of the attempt."""
+        """Pass an event of the attempt to the core."""
 
     @abstractmethod
     def is_open(self, number: int) -> bool:
-        """Say whether the attempt is still one of the answer's."""
+        """Return whether the attempt still belongs to the stream."""
 
     @abstractmethod
     def may_still_send(self, endpoint: EndpointRecord) -> bool:
-        """Say whether a run may be sent there, now that its connection stands."""
+        """Return whether a run may still be sent, once its connection is open."""
 
     @abstractmethod
     def stream_opened(self, attempt: int, head: ExchangeHead) -> None:
-        """An endpoint answered with a stream of this request."""
+        """Handle the response head that opens the stream of this request."""
 
     @abstractmethod
     def final_response_received(self, head: ExchangeHead, body: bytes) -> None:
-        """An endpoint gave a final answer that isn't a stream."""
+        """Handle a final response that is not a stream."""
 
     @abstractmethod
     def not_sent(self) -> None:
-        """A run that was sent reached no endpoint."""
+        """Record that the request of an attempt reached no endpoint."""
 
     @abstractmethod
     def attempt_ended(self, number: int) -> None:
-        """The attempt's connection ended by itself."""
+        """Remove an attempt whose connection has ended."""
 
     @abstractmethod
     def run_lost(self, lost: LostRun) -> None:
-        """An attempt was lost before the answer was whole."""
+        """Record that a run was lost before its answer was complete."""
 
 
 @define(eq=False)
 class StreamAttempt(ExchangeSink):
-    """One run at one endpoint; ``from_copy`` if it goes on from a copy kept there."""
+    """One run at one endpoint; ``from_copy`` if it continues from a copy kept there.
+
+    ``number`` is the attempt's number in the core; ``started_ms`` is when it was sent.
+    """
 
     task: AttemptOwner
     number: int
@@ -106,14 +109,14 @@
     _watch: FirstEventWatch | None = None
 
     def open(self, outbound: OutboundRequest) -> None:
-        """Send the request."""
+        """Send the request, and watch for the first event of a resumable route."""
         self._send(outbound)
         if self.task.call.route.kind is RouteKind.RESUMABLE:
             self._start_first_event_watch()
 
     @property
     def has_started(self) -> bool:
-        """Say whether the endpoint has given an event of the run."""
+        """Whether the run has sent an event."""
         return self._events > 0
 
     def _send(self, outbound: OutboundRequest) -> None:
@@ -122,7 +125,7 @@
         self._exchange = endpoints.send(self.task.call, outbound, self)
 
     def close(self) -> None:
-        """End the run; the endpoint stops when its connection closes."""
+        """Abort the run; the endpoint stops it when the connection closes."""
         if self._exchange is not None:
             self._exchange.abort()
         self._release(failed=False)
@@ -140,7 +143,7 @@
         self._watch.start()
 
     def _first_event_overdue(self, report: EndpointReport | None) -> None:
-        """The endpoint is dead, or doesn't run what it was sent."""
+        """Handle an endpoint that has crashed, or doesn't run the request."""
         if report is None:
             self.task.run_lost(self.loss_record("no_report"))
             self.task.tell(EndpointSilent(self.endpoint_id))
@@ -148,7 +151,7 @@
             self._run_lost("not_running")
 
     def loss_record(self, why: str) -> LostRun:
-        """What is known of the run, if it is lost now."""
+        """Describe the run as lost now, for the reason ``why`` (a log value)."""
         now_ms = self.task.context.clock.now_ms()
         ran_ms = (
             None if self._head_received_ms is None else now_ms - self._head_received_ms
@@ -162,7 +165,7 @@
         assert self._outbound is not None
         return self.task.may_still_send(self._outbound.endpoint)
 
-    # The answer.
+    # The response.
 
     def head_arrived(self, head: ExchangeHead) -> None:
         self._head = head
@@ -261,12 +264,10 @@
             self._run_lost(f"status_{head.status}")
 
     def _other_instance_answered(self, head: ExchangeHead) -> None:
-        """Another incarnation has the address, and ran nothing.
+        """Handle a response from another incarnation, which ran nothing.
 
-        A copy lies at an address: one that was placed after a restart is kept by the
-        successor, and goes on there. Without this, in an outage of the store, four
-        streams that lost their engine at once read 20,000 prompt tokens again, with
-        pauses of 2 to 3 s.
+        A copy is stored at an address: one that was placed after a restart is kept by
+        the successor, so the run continues there instead of reading its prompt again.
         """
         task = self.task
         task.context.health.replaced(self.endpoint_id)
@@ -298,7 +299,7 @@
         self._send(evolve(self._outbound, endpoint=successor))
 
     def _request_rejected(self) -> None:
-        """A copy that isn't there says nothing of the endpoint's room."""
+        """End the attempt; a missing copy doesn't mean that the endpoint is full."""
         if not self.from_copy:
             context = self.task.context
             now_ms = context.clock.now_ms()
@@ -308,7 +309,10 @@
     def _is_final_response(
         self, verdict: HeadVerdict, head: ExchangeHead, ending: Ending
     ) -> bool:
-        """An endpoint's own failure is passed on only if no other can do better."""
+        """Return True if the caller gets this response.
+
+        A resumable stream is sent again after a 5xx response.
+        """
         if verdict is not HeadVerdict.RAN or ending is not Ending.WHOLE:
             return False
         runs_once = self.task.call.route.kind is not RouteKind.RESUMABLE
@@ -341,4 +345,4 @@
 
 
 def _ignore_successor(_: EndpointRecord | None) -> None:
-    """New work finds the successor among the others, once it is known."""
+    """Do nothing: routing uses the successor for new requests once it is adopted."""
--- a/src/coursekeel/gateway/streams/_stream_reply.py
+++ b/src/coursekeel/gateway/streams/_stream_reply.py
@@ -1,7 +1,7 @@
-"""What the caller of a stream gets, and what is counted and logged of it.
+"""The reply to the caller of a stream, with its metrics and log events.
 
-Owns the reply, when its first event left, and since when it has been waiting for a lost
-run to go on. A reply ends once; what comes after that does nothing.
+Owns the reply, the time when its head was sent, and the time when a run was lost while
+none has resumed. A reply ends once; later calls do nothing.
 """
 
 from http import HTTPStatus
@@ -17,13 +17,13 @@
 
 __all__ = ["StreamReply"]
 
-# The log's status of a reply whose head has left: no other can be given.
+# The status in the log of a reply whose head was sent already.
 _NO_STATUS = 0
 
 
 @define(eq=False)
 class StreamReply:
-    """One stream's reply. ``ways`` are those that its runs took, in order."""
+    """One stream's reply; ``ways`` are the values of `Way` of its runs, in order."""
 
     context: GatewayContext
     call: AdmittedRequest
@@ -34,11 +34,11 @@
 
     @property
     def is_recovering(self) -> bool:
-        """Say whether a run was lost, and nothing has come since."""
+        """Whether a run was lost and no event has arrived since."""
         return self._run_lost_ms is not None
 
     def stream_opened(self, head: ExchangeHead) -> None:
-        """A run's stream opened; the first one's head is the reply's."""
+        """Send the head of the reply, from the first run that opens a stream."""
         if self.reply.head_sent:
             return
         self._head_sent_ms = self.context.clock.now_ms()
@@ -46,13 +46,13 @@
         self.reply.head(head.status, headers)
 
     def run_lost(self, lost: LostRun, position: int) -> None:
-        """A run was lost after ``position`` events."""
+        """Record a run lost at ``position`` (in events), and when recovery started."""
         if self._run_lost_ms is None:
             self._run_lost_ms = self.context.clock.now_ms()
         self.context.metrics.run_lost(self.call, lost, position)
 
     def deliver(self, events: bytes) -> None:
-        """Send events on."""
+        """Send events to the caller; the first ones after a loss end the recovery."""
         if self._run_lost_ms is not None:
             waited_ms = self.context.clock.now_ms() - self._run_lost_ms
             self.context.metrics.resumed(self.call, self.ways[-1], waited_ms)
@@ -60,15 +60,15 @@
         self.reply.write(events)
 
     def log_completed(self) -> None:
-        """The stream is whole."""
+        """Log that the stream is complete."""
         self._log_end("answered", HTTPStatus.OK)
 
     def finish(self) -> None:
-        """Close the reply of a whole stream."""
+        """Close the reply of a complete stream."""
         self.reply.finish()
 
     def final_response_received(self, head: ExchangeHead, body: bytes) -> None:
-        """An endpoint gave a final answer that isn't a stream."""
+        """Pass on a final response that is not a stream; cut a reply that has begun."""
         self._log_end("answered", head.status)
         if self.reply.head_sent:
             self.reply.cut()
@@ -77,7 +77,7 @@
             self.reply.whole(head.status, headers, body)
 
     def refuse_or_cut(self, refusal: GatewayRefusal) -> None:
-        """Nothing more will come; an answer that has begun is visibly cut."""
+        """End the reply: with the refusal, or by a cut if its head was sent."""
         if self.reply.head_sent:
             self._log_end(refusal.code, _NO_STATUS)
             self.reply.cut()
@@ -86,7 +86,7 @@
             self.reply.refuse(refusal)
 
     def caller_left(self) -> None:
-        """Nobody waits any more."""
+        """Log that the caller closed its connection."""
         self._log_end("caller_left", _NO_STATUS)
 
     def _log_end(self, code: str, status: int) -> None:
--- a/src/coursekeel/gateway/streams/_stream_task.py
+++ b/src/coursekeel/gateway/streams/_stream_task.py
@@ -1,11 +1,11 @@
-"""The task of one answer that is a stream of numbered events.
+"""The task of one streamed answer, a sequence of numbered events.
 
-An `AnswerCore` decides, as it does for generations on the product's own engines: here
-a piece is an event, a copy of a run's memory is kept by an endpoint of another
-availability zone, and a lost run goes on from it.
+An `AnswerCore` decides, as for generations in `entry`. Here the unit is an event, and
+an endpoint of another availability zone keeps a copy of a run's memory, from which a
+lost run continues.
 
-Owns the runs that are open. Relies on `StreamPlacement` for where they go, and on
-`StreamReply` for what the caller gets.
+Owns the open runs. Relies on `StreamPlacement` to choose endpoints, and on
+`StreamReply` for the reply to the caller.
 """
 
 import math
@@ -54,7 +54,7 @@
 )
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 from coursekeel.gateway.streams._placement import StreamPlacement
-from coursekeel.gateway.streams._stall_check import StallCheck
+from coursekeel.gateway.streams._silence_doubt import StallCheck
 from coursekeel.gateway.streams._stream_attempt import AttemptOwner, StreamAttempt
 from coursekeel.gateway.streams._stream_reply import StreamReply
 from coursekeel.gateway.streams._successors import Successors
@@ -64,14 +64,14 @@
 
 __all__ = ["StreamTask"]
 
-# An alarm this late tells of a pause of this process. Less than `silence_ms`, so that a
-# pause isn't taken for the silence of every endpoint at once.
+# An alarm this late means that this process was paused. Less than `silence_ms`, so that
+# a pause isn't taken for a stall of every endpoint at once.
 _OWN_PAUSE_MS = 100.0
 
 
 @define(eq=False)
 class StreamTask(AttemptOwner, AnswerShell):
-    """Drives one stream from its request to its last event."""
+    """Drives one stream from the admitted request to the end of the reply."""
 
     context: GatewayContext
     reports: LoadReports
@@ -120,7 +120,7 @@
         )
 
     def _stalled_runs_lost(self) -> bool:
-        """Say whether a run that is silent is lost by that."""
+        """Return whether the stalled runs are lost now; called by the driver."""
         if self.context.endpoints.link.full:
             return False
         started_at = [
@@ -131,10 +131,11 @@
         return self._stall_check.runs_lost(started_at, self.core.ledger.next_position)
 
     def _policy(self) -> AnswerPolicy:
-        """A stream that may not be resumed runs once, however long it is silent.
+        """Return the core's limits for this request.
 
-        Before its first event a run is watched by its endpoint's report
-        (`StreamAttempt`), not by a time. Two runs never race: that is work done twice.
+        A stream that is not resumable runs once, without a stall limit. Instead of a
+        time limit for the first token there is `FirstEventWatch`. Runs never race,
+        which would double the work.
         """
         call, timers = self.call, self.context.settings.timers
         resumable = call.route.kind is RouteKind.RESUMABLE
@@ -145,29 +146,29 @@
             silence_ms=timers.silence_ms if resumable else math.inf,
             races=False,
             deaths_before_stop=max(call.route.tries, 1) if resumable else 1,
-            # Which requests stop endpoints the quarantine decides.
+            # The quarantine decides which requests crash endpoints.
             sound_after_ms=0,
             own_stream_tries=0,
             retry_after_ms=int(STREAM_RETRY_MS),
         )
 
     def start(self) -> None:
-        """Begin; the reply comes by itself."""
+        """Start the first search; the task sends the reply itself."""
         self.reply.on_gone(self._caller_left)
         self._send_account.budget.requested(self.context.clock.now_ms())
         self.tell(Started())
 
     def tell(self, event: Event) -> None:
-        """Take an event; what comes while one is being taken waits its turn."""
+        """Pass an event to the core; one that arrives meanwhile is queued."""
         self._driver.tell(event)
 
     def event_taken(self, event: Event, actions: list[Action]) -> None:
-        """Give back a place that is granted when a copy has taken the run up."""
+        """Release a granted slot if the run continues from a copy instead."""
         if isinstance(event, Granted) and not _opens_attempt(actions):
             self._placement.release_grant(event.endpoint_id)
 
     def carry_out(self, action: Action, now_ms: float) -> None:
-        """Do what the core asks for."""
+        """Carry out one action of the core."""
         match action:
             case SeekEndpoint():
                 self._search(action)
@@ -204,7 +205,7 @@
         self._refuse()
 
     def _refuse(self) -> None:
-        """There is nothing for the request, and its caller hears so at once."""
+        """Refuse the request: no endpoint, or no send allowed."""
         run = self.core.run_state
         self._stream_reply.refuse_or_cut(
             refusal_without_endpoint(run, self._refusal_code, self._retry_after_ms)
@@ -219,18 +220,18 @@
             self._send(action, record)
             return
         if action.way is not Way.COPY:
-            # A copy's place wasn't granted: it is taken when the run is sent there.
+            # A copy's slot wasn't granted; it is counted when the run is sent there.
             self._placement.release_grant(action.endpoint_id)
         self.tell(AttemptEnded(action.attempt, Loss.NOT_SENT))
 
     @property
     def _has_delivered(self) -> bool:
-        """Say whether this request has given its caller an event."""
+        """Whether the core has received an event beyond those that the caller has."""
         first_position = self.call.caller.resume_after or 0
         return self.core.ledger.next_position > first_position
 
     def _may_send(self) -> bool:
-        """Say whether a run may be sent now; if not, the next search is refused."""
+        """Return whether a run may be sent now; if not, the next search is refused."""
         if self._refusal_code:
             return False
         if not self.context.site.may_still_send(self.call, self._has_delivered):
@@ -247,7 +248,7 @@
         return False
 
     def may_still_send(self, endpoint: EndpointRecord) -> bool:
-        """Say whether a run may be sent there, now that its connection stands."""
+        """Return whether a run may still be sent, once its connection is open."""
         context = self.context
         record = context.site.directory.record(endpoint.endpoint_id)
         if record is None or record.leaving:
@@ -311,42 +312,45 @@
         attempt.close()
 
     def is_open(self, number: int) -> bool:
-        """Say whether the attempt is still one of the answer's."""
+        """Return whether the attempt still belongs to the stream."""
         return number in self._open_attempts
 
     def not_sent(self) -> None:
-        """A run that was sent reached no endpoint."""
+        """Take a send that reached no endpoint off the retry budget."""
         self._send_account.not_sent()
 
     def attempt_ended(self, number: int) -> None:
-        """The attempt's connection ended by itself."""
+        """Remove an attempt whose connection has ended."""
         self._open_attempts.pop(number, None)
 
     def stream_opened(self, attempt: int, head: ExchangeHead) -> None:
-        """An endpoint answered with a stream of this request."""
+        """Open the reply, and report the head to the core."""
         self._stream_reply.stream_opened(head)
         label = self.core.attempts[attempt].label
         position = self.core.attempts[attempt].from_position
-        # What a head proves was judged by the dialect; the core's own checks of model
-        # and label are for engines that echo them.
+        # The dialect has checked the head; the core's checks of model and label are for
+        # engines that echo them.
         checked = StreamHead(label, label, self.call.pool, "", "", "", position)
         self.tell(HeadArrived(attempt, checked))
 
     def final_response_received(self, head: ExchangeHead, body: bytes) -> None:
-        """An endpoint gave a final answer that isn't a stream."""
+        """Pass on a final response that is not a stream, and end the task."""
         self._stream_reply.final_response_received(head, body)
         self.context.quarantine.proved_sound(self.call)
         self.tell(Cancelled())
 
     def run_lost(self, lost: LostRun) -> None:
-        """An attempt was lost before the answer was whole."""
+        """Report a lost run to the reply, placement, rollouts and the crash watch."""
         self._stream_reply.run_lost(lost, self.core.ledger.next_position)
         self._placement.run_lost(lost.endpoint_id)
         self._record_version_outcome(lost)
         self.context.crashes.run_lost(self.call, lost)
 
     def _record_version_outcome(self, lost: LostRun) -> None:
-        """A failure that the endpoint said is its own; others may share a cause."""
+        """Report the loss to the rollouts.
+
+        A response is the version's own failure; other losses may have a common cause.
+        """
         versions = self.context.versions
         if lost.why.startswith("status_"):
             versions.ended(self.call, lost.endpoint_id, True, 0.0)
--- a/src/coursekeel/gateway/streams/_successors.py
+++ b/src/coursekeel/gateway/streams/_successors.py
@@ -1,16 +1,14 @@
-"""Learn who has the address of an endpoint that is over, before the list says so.
+"""Find the new incarnation at an endpoint's address before it is listed.
 
-Rule: an endpoint that answers for another incarnation names itself. It is taken for a
-new endpoint of the same pool once its own report shows a model that no other pool of
-the configuration serves; a plain service proves nothing, and waits for the list. Sends
-name the incarnation that they are for, so that a third one runs nothing.
+Rule: an endpoint that responds in place of another incarnation sends its own id. It is
+adopted into the same pool if that is the only pool of the configuration that serves
+models of its report; a plain service reports none, and must be listed first. Sends name
+the incarnation that they are for, so that a third one runs nothing.
 
-Reason: the list tells a restart within a second or two, and not at all while the store
-is away. Until then each restarted endpoint was lost to new work, and the copies that it
-kept were not found.
+Reason: a restart is listed after a second or two, and not at all during an outage of
+the store. Meanwhile the endpoint's capacity and the copies it keeps would be unused.
 
-Owns the questions that are open. Relies on `LoadReports` to ask, and on the directory
-to keep what it may.
+Owns the pending report requests. Relies on `LoadReports`, and on `KnownSite` to adopt.
 """
 
 from collections.abc import Callable
@@ -29,14 +27,17 @@
 
 @define(eq=False)
 class Successors:
-    """Finds the endpoint that has another's address now."""
+    """Finds the endpoint that has another's address now; shared by all streams."""
 
     context: GatewayContext
     reports: LoadReports
     _pending: dict[str, list[_OnFound]] = field(factory=dict)
 
     def find(self, endpoint_id: str, successor_id: str, on_found: _OnFound) -> None:
-        """``named`` answered in the endpoint's place; None if it can't be used."""
+        """Look up ``successor_id``, which responded in the place of ``endpoint_id``.
+
+        ``on_found`` gets its record, None if it can't be used.
+        """
         directory = self.context.site.directory
         record = directory.record(successor_id)
         predecessor = directory.record(endpoint_id)
--- a/tests/cover/test_stall_check.py
+++ b/tests/cover/test_stall_check.py
@@ -4,7 +4,7 @@
 
 from coursekeel.gateway._adapters import EndpointReport
 from coursekeel.gateway.endpoints._lived_silences import LivedSilences
-from coursekeel.gateway.streams._stall_check import StallCheck
+from coursekeel.gateway.streams._silence_doubt import StallCheck
 
 NAMED = EndpointReport(3, 0, runs=frozenset({"r1"}))
 OTHERS = EndpointReport(3, 0, runs=frozenset({"r2"}))
