--- a/src/coursekeel/gateway/admission/__init__.py
+++ b/src/coursekeel/gateway/admission/__init__.py
@@ -1,3 +1,3 @@
-"""Whether a request is taken: rules, refusals, and the times that bound it."""
+"""Admission of requests: rules, refusals and time limits."""
 
 __all__: list[str] = []
--- a/src/coursekeel/gateway/admission/_admission.py
+++ b/src/coursekeel/gateway/admission/_admission.py
@@ -1,13 +1,13 @@
-"""Admit: may this instance take a request, and for which route and team?
+"""Admit or refuse a request, and find its route and team.
 
-Rule: a request is taken if its route is known, its key is known and known freshly
-enough, and the instance has room and time for it. Whatever else comes is refused at
-once, since waiting makes none of these true for the caller.
+Rule: a request is admitted if its route and key are in the cached configuration, the
+configuration is fresh enough, and the instance has capacity and time for it. Any other
+request is refused at once.
 
-Two ages of what is known of routes and keys bound the answer (both from `revoke_ms`,
-see `GatewayTimers`): past `max_key_age_ms` no key is acted on, because it may have been
-taken away; past `max_unknown_age_ms` a route or key that isn't known here is no longer
-called unknown (404, 401), because it may be new, and another instance may know it.
+Two limits on the configuration's age apply, both from `revoke_ms` (`GatewayTimers`).
+Past `max_key_age_ms` no key is accepted, because it may have been revoked; past
+`max_unknown_age_ms` a missing route or key is not reported as unknown (404, 401),
+because it may be new, and another instance may have it.
 
 A core: no sockets, no clock. Units: milliseconds of this process's clock.
 """
@@ -38,7 +38,7 @@
 
 @frozen
 class Arrival:
-    """What admission looks at in a request; ``host`` without its port."""
+    """The parts of a request that admission checks; ``host`` without its port."""
 
     host: str
     path: str
@@ -47,7 +47,7 @@
 
 @frozen
 class Admitted:
-    """The request may be served; without a team it needed no key."""
+    """The request is admitted; ``team`` is None if it needed no key."""
 
     route: Route
     team: Team | None
@@ -55,11 +55,12 @@
 
 @frozen
 class Admission:
-    """What an instance knows and bears at one moment.
+    """An instance's state at one time, as far as admission depends on it.
 
-    ``age_ms`` is how long ago what is known of routes and keys was last proven.
-    ``open_requests`` counts the request in question. ``alone_in_zone``: no other
-    instance is known in this availability zone, so that callers would come back here.
+    ``age_ms`` is the time since the cached routes and keys were last confirmed by a
+    store response. ``open_requests`` includes the request to admit. With
+    ``alone_in_zone`` this is the only known instance of its availability zone, so that
+    callers would return here.
     """
 
     routes: RouteTable | None
@@ -75,12 +76,12 @@
 
     @property
     def may_report_unknown(self) -> bool:
-        """Say whether what isn't known here can be called unknown."""
+        """Whether the configuration is fresh enough to report 404 or 401."""
         return self.age_ms <= self.max_unknown_age_ms
 
 
 def admit(arrival: Arrival, state: Admission) -> Admitted | GatewayRefusal:
-    """Take a request, or say why not."""
+    """Admit a request, or return the refusal to send."""
     if state.routes is None:
         return _NO_ROUTES
     if state.open_requests > state.max_open_requests:
@@ -101,7 +102,10 @@
 def _check_stop_window(
     admitted: Admitted, state: Admission
 ) -> Admitted | GatewayRefusal:
-    """A request that can't be answered before the end of a stop goes elsewhere."""
+    """Refuse a request that can't be answered before the instance stops.
+
+    If callers would return here, `Retry-After` lasts until the balancer has noticed.
+    """
     stop, route = state.stop, admitted.route
     upper_estimate_ms = state.lengths.upper_estimate_ms(route.name)
     if stop is None or stop.has_time_for(route, state.now_ms, upper_estimate_ms):
--- a/src/coursekeel/gateway/admission/_start_hold.py
+++ b/src/coursekeel/gateway/admission/_start_hold.py
@@ -1,13 +1,12 @@
-"""Hold what comes before the first routes and endpoints are known here.
+"""Hold requests that arrive before the first configuration and endpoint list.
 
-Rule: while the first readings are on their way a request waits for them, for no longer
-than it would otherwise be told to stay away (`refusal_retry_ms`). Once both are known
-all that wait are served, in the order in which they came; once a reading has failed all
-are refused at once, and so is whatever comes before the next one succeeds. Reason:
-instances that start together are a fraction of a second from their first configuration,
-and their callers have just been cut and come back once: a refusal would use that up.
+Rule: while the first reads are pending a request waits, for about as long as its
+`Retry-After` would be (`refusal_retry_ms`). When both tables are loaded, all held
+requests are served in order of arrival; when a read fails, all resume and are refused,
+like requests that arrive before a later read succeeds. Reason: after a restart the
+first read takes a fraction of a second, and callers whose answers were cut retry once.
 
-Owns the requests that wait. A core: timers belong to whoever asks.
+Owns the held requests. A core: the caller owns the timers.
 """
 
 from collections.abc import Callable
@@ -21,7 +20,7 @@
 
 
 class FirstReadings(Enum):
-    """How far the first readings of this instance's tables are."""
+    """The state of this instance's first reads of its tables."""
 
     COMING = "coming"
     KNOWN = "known"
@@ -30,7 +29,7 @@
 
 @define(eq=False)
 class StartHold:
-    """The requests that wait; each is told once, by its ``resume``, to go on."""
+    """The held requests; each one's ``resume`` is called once, unless withdrawn."""
 
     state: FirstReadings = FirstReadings.COMING
     _waiting: dict[int, _Resume] = field(factory=dict)
@@ -40,28 +39,28 @@
         return len(self._waiting)
 
     def add(self, resume: _Resume) -> int:
-        """Let a request wait; the number is for `release` and `withdraw`."""
+        """Hold a request; returns its number for `release` and `withdraw`."""
         self._last_number += 1
         self._waiting[self._last_number] = resume
         return self._last_number
 
     def withdraw(self, number: int) -> None:
-        """The request's caller has left."""
+        """Drop a held request whose caller has left."""
         self._waiting.pop(number, None)
 
     def release(self, number: int) -> None:
-        """The request has waited for as long as it may."""
+        """Resume a request at the end of its longest wait, if it is still held."""
         resume = self._waiting.pop(number, None)
         if resume is not None:
             resume()
 
     def known(self) -> None:
-        """Routes and endpoints are known: nothing waits for them any more."""
+        """Resume all held requests: both tables are loaded."""
         self.state = FirstReadings.KNOWN
         self._release_all()
 
     def failed(self) -> None:
-        """A first reading failed; when the next one comes nobody knows."""
+        """Resume all held requests, which are refused: a first read failed."""
         if self.state is FirstReadings.COMING:
             self.state = FirstReadings.FAILED
             self._release_all()
--- a/src/coursekeel/gateway/admission/_stop_window.py
+++ b/src/coursekeel/gateway/admission/_stop_window.py
@@ -1,13 +1,13 @@
-"""When a gateway that was told to stop takes new requests, and until when it serves.
+"""Which new requests a stopping gateway admits, and until when it serves.
 
-Rule: until the balancer can know of the stop, every whole answer that is asked for is
-taken, because most would come back here. Afterwards one is taken only if it can be
-given before the end. A stream is taken at any time only if a long one of its route can
-still end: it has seconds to begin elsewhere, and if it is cut it begins anew. Kept
-connections that wait for nothing are closed once the balancer knows.
+Rule: until the balancer has noticed the stop, every request for a whole answer is
+admitted, because most retries would return here; afterwards only one that can be
+answered before the end. A stream is admitted only if a long one of its route can still
+finish, because a stream that is cut starts again elsewhere. Idle kept-alive connections
+are closed once the balancer has noticed.
 
-Owns the moments of the stop. Relies on the grace that the settings give, and on
-`StreamLengths` for how long streams take.
+Owns the times of the stop. Relies on the grace of the settings, and on `StreamLengths`
+for the duration of streams.
 """
 
 from attrs import define, frozen
@@ -16,30 +16,27 @@
 
 __all__ = ["Shutdown", "StopWindow"]
 
-# The balancer asks for readiness every second and takes an instance out after two
-# refusals (the users' page on the wire): 2 s at the most, and 0.6 s for new connections
-# on their way.
+# The balancer checks readiness every second and removes an instance after two failures,
+# so within 2 s; 0.6 s more for connections that are being opened.
 _BALANCER_SETTLE_MS = 2_600.0
 
-# A grace shorter than twice that is split in halves. No site has one.
+# A grace shorter than twice `_BALANCER_SETTLE_MS` is split in halves.
 _MAX_SETTLE_SHARE = 0.5
 
-# What is left of the grace for the process to end by itself, after the last answer.
-# 0.48 s of the usual 8.
+# Share of the grace for the process to exit after the last answer: 0.48 s of 8 s.
 _EXIT_SHARE = 0.06
 
-# Before an instance has seen how long streams take, one is taken so early in the grace.
-# Where long ones took 9 s of a grace of 8, it let two to four streams of a day with
-# stops in turn begin and be cut at the end of the grace.
+# Without an estimate of a route's stream duration, streams are admitted during this
+# first share of the time until `last_ms`.
 _STREAM_START_SHARE = 0.096
 
 
 @frozen
 class StopWindow:
-    """The moments of a stop, in ms of this process's clock.
+    """The times of a stop, in ms of this process's clock.
 
-    Until ``settled_ms`` the balancer may still send new connections here; what runs at
-    ``last_ms`` is cut.
+    Until ``settled_ms`` the balancer may still send new connections here; answers that
+    are open at ``last_ms`` are cut.
     """
 
     started_ms: float
@@ -48,7 +45,7 @@
 
     @classmethod
     def beginning(cls, now_ms: float, grace_ms: float) -> "StopWindow":
-        """The window of a stop that begins now and has ``grace_ms``."""
+        """Return the window of a stop that begins now and lasts ``grace_ms``."""
         settle_ms = min(_BALANCER_SETTLE_MS, _MAX_SETTLE_SHARE * grace_ms)
         last_ms = now_ms + (1 - _EXIT_SHARE) * grace_ms
         return cls(now_ms, now_ms + settle_ms, last_ms)
@@ -56,10 +53,10 @@
     def has_time_for(
         self, route: Route, now_ms: float, stream_estimate_ms: float | None = None
     ) -> bool:
-        """Say whether a request that comes now can be answered before the end.
+        """Return whether a request that arrives now can be answered before the end.
 
-        ``long_stream_ms`` is what a long stream of the route takes, if that is known. A
-        call that came 7.5 s after SIGTERM was once passed on, and cut 33 ms later.
+        ``stream_estimate_ms`` is the duration of a long stream of the route, None if
+        there is no estimate yet.
         """
         if route.kind.streams:
             if stream_estimate_ms is not None:
@@ -71,11 +68,11 @@
 
 @define
 class Shutdown:
-    """Whether this instance is stopping; ``window`` is None until it is told to."""
+    """Whether this instance is stopping; ``window`` is None until the stop begins."""
 
     window: StopWindow | None = None
 
     @property
     def begun(self) -> bool:
-        """Say whether the instance was told to stop."""
+        """Whether the stop has begun."""
         return self.window is not None
--- a/src/coursekeel/gateway/admission/_stream_lengths.py
+++ b/src/coursekeel/gateway/admission/_stream_lengths.py
@@ -1,17 +1,17 @@
-"""How long streams take here, learned from those that ended whole.
+"""Estimates of the duration of streams, by route, from those that finished.
 
-The estimate is an upper one, the mean and twice the mean deviation, since it says
-whether a stream can still end before a stop does. A core without a clock.
+The estimate is an upper one, the mean plus twice the mean deviation, as it decides
+whether a stream can finish before the instance stops. A core without a clock.
 """
 
 from attrs import define, field
 
 __all__ = ["StreamLengths"]
 
-# How much the newest stream counts. Some twenty streams.
+# Weight of the newest stream in the moving averages, which so span about 20 streams.
 _NEWEST_WEIGHT = 0.1
-# Nine in ten streams are shorter than the mean and so many mean deviations, if their
-# lengths spread evenly around it.
+# If durations are spread evenly around the mean, 9 of 10 streams are shorter than the
+# estimate.
 _DEVIATION_FACTOR = 2.0
 
 
@@ -23,12 +23,12 @@
 
 @define
 class StreamLengths:
-    """Lengths by route."""
+    """Duration estimates by route name."""
 
     _by_route: dict[str, _DurationEstimate] = field(factory=dict)
 
     def stream_finished(self, route: str, took_ms: float) -> None:
-        """A stream that was asked for from its start ended whole."""
+        """Update the route's estimate with a stream that ran from start to end."""
         estimate = self._by_route.get(route)
         if estimate is None:
             self._by_route[route] = _DurationEstimate(took_ms, took_ms / 4)
@@ -40,7 +40,7 @@
         )
 
     def upper_estimate_ms(self, route: str) -> float | None:
-        """What a long one takes; None before the first has ended."""
+        """Return a long stream's duration in ms; None before the first has finished."""
         estimate = self._by_route.get(route)
         if estimate is None:
             return None
--- a/src/coursekeel/gateway/endpoints/_crash_watch.py
+++ b/src/coursekeel/gateway/endpoints/_crash_watch.py
@@ -1,12 +1,12 @@
-"""Did an endpoint end while it had a request, and what was seen of the run there?
+"""Find out whether an endpoint crashed while it ran a request.
 
-Rule: a run whose connection ended, or that fell silent, is no proof: answers are lost
-on the way, and links fail. So the endpoint is asked once; only one that refuses to be
-reached has ended, or, if it gives reports, one that doesn't answer. One that said that
-it leaves ends on its own.
+Rule: a run whose connection closed, or that stalled, doesn't prove a crash, since
+network links fail too. So the endpoint is probed once: it has crashed if it can't be
+reached, or if it gives reports and doesn't answer in time. Losses at an endpoint that
+is leaving, or no longer listed, don't count.
 
-Owns the questions that are open, one an endpoint. Relies on `LostRuns` for the runs
-that wait for each.
+Owns the open probes, one per endpoint. Relies on `LostRuns` for the runs that wait for
+a probe.
 """
 
 from attrs import define, field
@@ -33,7 +33,7 @@
 
 @define(eq=False)
 class CrashWatch:
-    """Tells the gate which requests endpoints had when they ended."""
+    """Reports to the quarantine gate which requests ran on endpoints that crashed."""
 
     reactor: Reactor
     clock: Clock
@@ -47,7 +47,10 @@
     _reporting_endpoints: set[str] = field(factory=set)
 
     def run_lost(self, call: AdmittedRequest, lost: LostRun) -> None:
-        """A run's connection ended, or it was silent for too long."""
+        """Probe the endpoint of a run whose connection closed or that stalled.
+
+        A run that sent events for long enough proves its request sound instead.
+        """
         sign = sign_of(lost.ran_ms, lost.gave_ms)
         if sign is None:
             self.gate.proved_sound(call)
@@ -85,7 +88,7 @@
 
 
 def _confirms_crash(result: ProbeFailure, gives_reports: bool) -> bool:
-    """A plain service may have a question wait for a place: that proves nothing."""
+    """Return whether the probe proves a crash; a plain service may only be busy."""
     if result.silence is Silence.TOO_LATE:
         return gives_reports
     return result.silence is Silence.NOT_REACHED
--- a/src/coursekeel/gateway/endpoints/_endpoint_client.py
+++ b/src/coursekeel/gateway/endpoints/_endpoint_client.py
@@ -1,10 +1,10 @@
 """Sends requests to endpoints, each on a connection of its own.
 
-Owns nothing that lasts: an `Exchange` belongs to whoever opened it. Relies on the
-site's dialect for headers and paths.
+Owns nothing that lasts: the caller owns the `Exchange`. Relies on the site's dialect
+for headers and paths.
 
-A connection for each send costs 0.002 to 0.003 of a quiet day's worth
-(docs/design/platform.md), and leaves no doubt whether a request reached an endpoint.
+A connection for each send makes it certain whether a request reached an endpoint
+(docs/design/platform.md).
 """
 
 from collections.abc import Sequence
@@ -26,16 +26,16 @@
 __all__ = ["EndpointClient"]
 
 
-# Connections are waited for so long while this instance's own link is full: more than a
-# configuration of 1,469 routes takes at 5 Mbit/s (0.66 s).
+# Connect timeout while this instance's own link is full: longer than a configuration of
+# 1,469 routes takes at 5 Mbit/s (0.66 s).
 _FULL_LINK_CONNECT_MS = 1_000.0
 
 
 @define(eq=False)
 class EndpointClient:
-    """Opens exchanges with endpoints in the words of ``dialect``.
+    """Opens exchanges with endpoints, with the headers and paths of ``dialect``.
 
-    While ``link`` is full, an endpoint that is slow to answer says nothing.
+    While ``link`` is full, the connect timeout is longer.
     """
 
     reactor: Reactor
@@ -47,7 +47,7 @@
     def send(
         self, call: AdmittedRequest, outbound: OutboundRequest, sink: ExchangeSink
     ) -> Exchange:
-        """Send a caller's request to an endpoint, with the time that is left then."""
+        """Send a caller's request; its headers carry the time left when it is sent."""
 
         def headers() -> Sequence[tuple[bytes, bytes]]:
             remaining_ms = call.due_ms - self.clock.now_ms()
@@ -71,7 +71,7 @@
         sink: ExchangeSink,
         connect_ms: float,
     ) -> Exchange:
-        """Send a question of the gateway's own to an endpoint."""
+        """Send one of the gateway's own requests (a probe) to an endpoint."""
         headers = [(b"host", endpoint.address.encode())]
         request = ExchangeRequest(
             endpoint.host, endpoint.port, call.method, call.target, lambda: headers
--- a/src/coursekeel/gateway/endpoints/_endpoint_health.py
+++ b/src/coursekeel/gateway/endpoints/_endpoint_health.py
@@ -1,11 +1,11 @@
-"""Eject: which endpoints get nothing new because of what own requests met there.
+"""Eject endpoints that this instance's own requests found to have failed.
 
-Rule: an endpoint that a send or a question didn't reach gets nothing new for a time
-that doubles with each such proof; one whose address another incarnation has is never
-used again. How long stands in `EndpointDirectory`; when a whole zone is avoided stands
-in `routing.FailingZones`.
+Rule: an endpoint that a send or a probe didn't reach gets no new work for a time that
+doubles with each such failure; one whose address another incarnation has is never used
+again. The times are in `EndpointDirectory`; the rule for avoiding a whole zone is in
+`routing.FailingZones`.
 
-Owns nothing: it tells the directory, routing and the log of the same event.
+Owns nothing: it reports each failure to the directory, routing and the log.
 """
 
 from attrs import define
@@ -20,7 +20,7 @@
 
 @define(eq=False)
 class EndpointHealth:
-    """Tells of endpoints that failed this instance's requests."""
+    """Reports endpoints that failed this instance's requests."""
 
     clock: Clock
     site: KnownSite
@@ -28,7 +28,7 @@
     metrics: GatewayMetrics
 
     def unreachable(self, endpoint_id: str, reason: str) -> None:
-        """An endpoint didn't answer at all: it gets nothing new for a while."""
+        """Eject an endpoint that couldn't be reached; ``reason`` is for the log."""
         now_ms = self.clock.now_ms()
         directory = self.site.directory
         ejected_ms = directory.failed(endpoint_id, now_ms)
@@ -38,10 +38,10 @@
         self.metrics.ejected(endpoint_id, reason, ejected_ms)
 
     def replaced(self, endpoint_id: str) -> None:
-        """Another incarnation has the endpoint's address."""
+        """Eject an endpoint for good: another incarnation has its address."""
         self.metrics.ejected(endpoint_id, "replaced", 0.0)
         self.site.endpoint_replaced(endpoint_id)
 
     def run_lost(self, pool: str, endpoint_id: str) -> None:
-        """A run was lost there; its zone may be failing."""
+        """Report a lost run to routing, as the endpoint's zone may be failing."""
         self.router.endpoints.lost(pool, endpoint_id, self.clock.now_ms())
--- a/src/coursekeel/gateway/endpoints/_endpoint_probe.py
+++ b/src/coursekeel/gateway/endpoints/_endpoint_probe.py
@@ -1,7 +1,7 @@
-"""One short question to one endpoint, which answers within a time or not at all.
+"""One short request of the gateway itself to one endpoint, with a timeout.
 
-Owns the exchange and its limit; tells whoever asked once how it ended. Relies on
-`EndpointClient` for the socket.
+Owns the exchange and its timeout; reports the result to the caller once. Relies on
+`EndpointClient` for the connection.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class Silence(Enum):
-    """Why a question has no answer: no connection, no time left, or a cut one."""
+    """Why a probe has no response: no connection, a timeout, or a cut response."""
 
     NOT_REACHED = "not_reached"
     TOO_LATE = "too_late"
@@ -30,7 +30,7 @@
 
 @frozen
 class ProbeResponse:
-    """The whole answer."""
+    """The complete response."""
 
     status: int
     body: bytes
@@ -38,7 +38,7 @@
 
 @frozen
 class ProbeFailure:
-    """The endpoint gave none; ``reason`` is for the log."""
+    """The probe got no complete response; ``reason`` is for the log."""
 
     silence: Silence
     reason: str
@@ -49,9 +49,9 @@
 
 @define(eq=False)
 class EndpointProbe(ExchangeSink):
-    """Asks once; ``on_end`` is called once.
+    """Sends one probe; ``on_result`` is called once.
 
-    ``limit_ms`` counts anew while this instance's own link is full.
+    ``timeout_ms`` starts again while this instance's own link is full.
     """
 
     reactor: Reactor
@@ -66,7 +66,7 @@
     _body: list[bytes] = field(factory=list)
 
     def start(self) -> None:
-        """Send the question."""
+        """Send the probe and start the timeout."""
         self._start_timeout()
         self._exchange = self.client.send_probe(
             self.endpoint, self.call, self, self.timeout_ms
--- a/src/coursekeel/gateway/endpoints/_lived_silences.py
+++ b/src/coursekeel/gateway/endpoints/_lived_silences.py
@@ -1,6 +1,6 @@
-"""Which pools' endpoints were lately seen to live through silences of their runs.
+"""Pools whose endpoints were recently found alive while their runs stalled.
 
-Owns when that was. A core: each moment is given, in ms.
+Owns the time of the last such report, by pool. A core: times are arguments, in ms.
 """
 
 import math
@@ -9,20 +9,20 @@
 
 __all__ = ["LivedSilences"]
 
-# How long what was seen of a pool counts: bursts of prompts last some seconds.
+# How long such a report counts: bursts of long prompts last some seconds.
 _RECENT_MS = 30_000.0
 
 
 @define(eq=False)
 class LivedSilences:
-    """When each pool's endpoints were last seen to live through a silence."""
+    """When an endpoint of each pool was last found alive during a stall."""
 
     _alive_ms: dict[str, float] = field(factory=dict)
 
     def record_alive(self, pool: str, now_ms: float) -> None:
-        """An endpoint gave its report after a run there was silent for too long."""
+        """Record that an endpoint gave its report after a run there had stalled."""
         self._alive_ms[pool] = now_ms
 
     def recently_alive(self, pool: str, now_ms: float) -> bool:
-        """Say whether silence alone shows no death there."""
+        """Return whether a stall alone is no proof of a crash in this pool."""
         return now_ms - self._alive_ms.get(pool, -math.inf) < _RECENT_MS
--- a/src/coursekeel/gateway/endpoints/_load_reports.py
+++ b/src/coursekeel/gateway/endpoints/_load_reports.py
@@ -1,9 +1,8 @@
-"""Asks endpoints for their load before a request is placed.
+"""Request endpoints' load reports before a request is placed.
 
-Owns no state. Relies on `EndpointQuestion` to ask; feeds routing with what is said, and
-tells of an endpoint that doesn't answer, so that it is known to be dead before a long
-prompt is sent to it. A stream that comes back has endpoints asked as well which of them
-keep its prompt.
+Owns no state. Relies on `EndpointProbe` for the requests. Passes reports to routing,
+and ejects an endpoint that doesn't answer, before a long prompt is sent to it. For a
+resumed stream, endpoints are also asked which prompts they have in their cache.
 """
 
 import logging
@@ -38,14 +37,14 @@
 
 @define(eq=False)
 class LoadReports:
-    """Asks for reports; routing gets each one before whoever asked for it."""
+    """Requests load reports; routing gets each one before the caller does."""
 
     context: GatewayContext
 
     def request_reports(
         self, endpoint_ids: list[str], on_done: Callable[[], None]
     ) -> None:
-        """Ask several endpoints at once; ``done`` is called when all have ended."""
+        """Request several reports at once; call ``on_done`` when all have ended."""
         pending = set(endpoint_ids)
 
         def probe_ended(endpoint_id: str, _: EndpointReport | None) -> None:
@@ -59,7 +58,7 @@
     def find_cached_prompt(
         self, endpoint_ids: list[str], prompt_key: str, on_done: _OnFound
     ) -> None:
-        """Ask several endpoints which of them keep a prompt."""
+        """Call ``on_done`` with the endpoints that have the prompt in their cache."""
         records = [
             self.context.site.directory.record(candidate_id)
             for candidate_id in endpoint_ids
@@ -97,7 +96,7 @@
         )
 
     def request_report(self, endpoint_id: str, on_report: _OnReport) -> None:
-        """Ask one endpoint; ``on_report`` gets None if it gave no report in time."""
+        """Request one report; ``on_report`` gets None if there is none in time."""
         record = self.context.site.directory.record(endpoint_id)
         if record is None:
             on_report(None)
@@ -105,7 +104,7 @@
         self.request_report_from(record, on_report)
 
     def request_report_from(self, record: EndpointRecord, on_report: _OnReport) -> None:
-        """Ask an endpoint that the list need not name."""
+        """Request a report of an endpoint that need not be listed."""
         requested_ms = self.context.clock.now_ms()
         call = self.context.endpoints.dialect.report
         self._probe(
@@ -117,7 +116,7 @@
     def _read_report(
         self, record: EndpointRecord, requested_ms: float, result: ProbeResult
     ) -> EndpointReport | None:
-        """What was said, after routing has it; None if nothing that can be used."""
+        """Pass the report to routing and return it; None if there is no usable one."""
         if isinstance(result, ProbeFailure):
             self._update_health(record.endpoint_id, result)
             return None
@@ -131,7 +130,7 @@
         return report
 
     def _update_health(self, endpoint_id: str, result: ProbeFailure) -> None:
-        """Endpoints answer this within a few milliseconds, even when they are full."""
+        """Eject an endpoint without a report; even full ones answer within a few ms."""
         if result.silence is Silence.NOT_REACHED:
             self.context.health.unreachable(endpoint_id, result.reason)
         elif result.silence is Silence.TOO_LATE:
--- a/src/coursekeel/gateway/whole/__init__.py
+++ b/src/coursekeel/gateway/whole/__init__.py
@@ -1,3 +1,3 @@
-"""Answers that are whole bodies: their tries, one after the other."""
+"""Answers with a whole body: their tries, one after the other."""
 
 __all__: list[str] = []
--- a/src/coursekeel/gateway/whole/_whole_task.py
+++ b/src/coursekeel/gateway/whole/_whole_task.py
@@ -1,10 +1,10 @@
 """The task of one request whose answer is a whole body.
 
-A `CallCore` decides whether the request is sent (again) and what its caller is told, as
-it does for calls of the product's own services; here no call needs a claim, since a
-request that may run once is sent once.
+A `CallCore` decides whether the request is sent (again) and what the reply is, as for
+service calls in `entry`. Calls need no claim here, since a request that must not run
+twice is sent once.
 
-Owns the search for an endpoint, the try under way and the last moment for the answer.
+Owns the search for an endpoint, the open try and the deadline of the answer.
 """
 
 from typing import Any
@@ -45,17 +45,17 @@
 
 __all__ = ["WholeAnswerTask"]
 
-# A call's part of what its pool does: calls have no tokens, so all count the same.
+# The cost of a call for fair queueing: calls have no tokens, so all cost the same.
 _CALL_COST = 1.0
 
-# The least that a try may take while another could follow, in aims of its route. Less
-# would give up answers that are merely slow.
+# The shortest time limit of a try that another can follow, in target latencies of its
+# route. A shorter limit would abort answers that are merely slow.
 _MIN_TRY_TARGETS = 1.5
 
-# With less than this left a request isn't sent: no answer takes less.
+# A request with less time left isn't sent, as no answer would arrive in time.
 _MIN_REMAINING_MS = 5.0
 
-# The log's status of a request whose caller left: none was given.
+# The status in the log of a request whose caller left before a reply.
 _NO_STATUS = 0
 
 
@@ -88,7 +88,7 @@
         self._quarantine_pass = QuarantinePass(self.context.quarantine, self.call)
 
     def start(self) -> None:
-        """Begin; the reply comes by itself."""
+        """Start the deadline and the first search; the task sends the reply itself."""
         context = self.context
         self.reply.on_gone(self._caller_left)
         left_ms = self.call.due_ms - context.clock.now_ms()
@@ -114,7 +114,7 @@
     # Finding an endpoint and sending.
 
     def _search(self) -> None:
-        """Search for an endpoint; a second one only if the retry budget has it."""
+        """Search for an endpoint; again only if the retry budget allows it."""
         now_ms = self.context.clock.now_ms()
         if not self._send_account.may_send(now_ms):
             self._placement_refused("retry_budget")
@@ -164,7 +164,7 @@
             self._open_try(record)
 
     def _record_in_time(self, endpoint_id: str) -> EndpointRecord | None:
-        """The endpoint's record, while an answer can still come from there in time."""
+        """Return the endpoint's record; None if it is gone or time is too short."""
         record = self.context.site.directory.record(endpoint_id)
         return record if self._remaining_ms >= _MIN_REMAINING_MS else None
 
@@ -173,13 +173,13 @@
         return self.call.due_ms - self.context.clock.now_ms()
 
     def _current_refusal_code(self) -> str:
-        """Why the request may be sent nowhere now; empty if it may be."""
+        """Return why the request may be sent nowhere now; empty if it may be sent."""
         if not self.context.site.may_still_send(self.call):
             return "belief_old"
         return "" if self._quarantine_pass.may_send() else STOPS_ENDPOINTS
 
     def may_still_send(self, endpoint_id: str) -> bool:
-        """Say whether the request may be sent there, now that its connection stands."""
+        """Return whether the request may still be sent, once its connection is open."""
         record = self._record_in_time(endpoint_id)
         if record is None or record.leaving:
             return False
@@ -205,10 +205,11 @@
         self._current_try.open(outbound, self._try_limit_ms(remaining_ms))
 
     def _try_limit_ms(self, remaining_ms: float) -> float | None:
-        """Give up a try: how long it may take while another could still follow it.
+        """Return the time limit in ms of a try that another can follow.
 
-        Rule: its even part of the time that is left, but no less than one and a half of
-        the route's aim. None for the last try, and for what may not be sent again.
+        Rule: the remaining time divided evenly among the tries left, but at least 1.5
+        target latencies of the route. None for the last try, and on routes that are not
+        repeatable.
         """
         route = self.call.route
         is_last_try = len(self._tried) >= route.tries
@@ -218,7 +219,7 @@
         return max(remaining_ms / tries_left, _MIN_TRY_TARGETS * route.target_ms)
 
     def try_ended(self, outcome: ServiceReply | SendOutcome) -> None:
-        """The try under way came to its end."""
+        """Pass the outcome of the open try to the core."""
         if self._current_try is not None and not self._current_try.may_have_arrived:
             self._send_account.not_sent()
         self._current_try = None
@@ -239,7 +240,7 @@
         self._refuse(refusal_after_loss(call_reply.run, code, self._retry_after_ms))
 
     def _deadline_reached(self) -> None:
-        """The route's or the caller's time is over: the reply comes now."""
+        """Refuse the request at its deadline, the route's or the caller's."""
         self._deadline_timer = None
         may_have_run = self._current_try is not None or self.core.may_have_run
         self._stop_work()
--- a/src/coursekeel/gateway/whole/_whole_try.py
+++ b/src/coursekeel/gateway/whole/_whole_try.py
@@ -1,6 +1,6 @@
-"""One send of a request to one endpoint, whose whole answer is read.
+"""One send of a request to one endpoint, which reads the complete answer.
 
-Owns the exchange and the limit on it. Tells its owner once how it ended.
+Owns the exchange and its time limit. Reports the outcome to its owner once.
 """
 
 from abc import ABC, abstractmethod
@@ -19,22 +19,22 @@
 
 
 class TryOwner(ABC):
-    """The request that a try belongs to."""
+    """The task that a try belongs to."""
 
     @abstractmethod
     def may_still_send(self, endpoint_id: str) -> bool:
-        """Say whether the request may be sent there now."""
+        """Return whether the request may be sent to the endpoint now."""
 
     @abstractmethod
     def try_ended(self, outcome: ServiceReply | SendOutcome) -> None:
-        """The try came to its end."""
+        """Handle the outcome of the try: a reply, or why there is none."""
 
 
 @define(eq=False)
 class WholeTry(ExchangeSink):
-    """One send to one endpoint; it gives its place back when it ends.
+    """One send to one endpoint; it releases its slot in routing when it ends.
 
-    ``arrived`` is False once it is sure that nothing reached an endpoint.
+    ``may_have_arrived`` is False once it is certain that no endpoint got the request.
     """
 
     owner: TryOwner
@@ -52,7 +52,7 @@
         self._started_ms = self.context.clock.now_ms()
 
     def open(self, outbound: OutboundRequest, limit_ms: float | None) -> None:
-        """Send; after ``limit_ms`` without a whole answer the try is given up."""
+        """Send the request; abort after ``limit_ms`` without a complete answer."""
         context = self.context
         if limit_ms is not None:
             self._limit_timer = context.reactor.callLater(
@@ -87,14 +87,14 @@
         self.owner.try_ended(outcome)
 
     def abandon(self) -> None:
-        """Nobody waits for the answer any more."""
+        """Abort without an outcome: the caller left, or the deadline has passed."""
         self._cancel_limit_timer()
         if self._exchange is not None:
             self._exchange.abort()
         self._release(failed=False)
 
     def _outcome(self, ending: Ending, reason: str) -> ServiceReply | SendOutcome:
-        """What the end proves of the request; in doubt, that it may have run."""
+        """Return the reply or the outcome; in doubt, that the request may have run."""
         context = self.context
         if ending is Ending.WITHHELD:
             self.may_have_arrived = False
@@ -131,7 +131,7 @@
         self.context.metrics.try_ended(self.call, self.endpoint_id, result)
 
     def _record_version_outcome(self, outcome: ServiceReply | SendOutcome) -> None:
-        """What an endpoint turned away says nothing of its version."""
+        """Report the outcome to the rollouts; a rejected request doesn't count."""
         versions = self.context.versions
         if isinstance(outcome, ServiceReply):
             took_ms = self.context.clock.now_ms() - self._started_ms
