--- a/tests/cover/test_crash_watch.py
+++ b/tests/cover/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""Which lost runs prove that an endpoint ended, and what they say of the request."""
+"""Which lost runs prove a crash of their endpoint, and which strikes they cause."""
 
 from unittest.mock import Mock
 
@@ -18,11 +18,11 @@
 from tests.common.moments import at
 from tests.cover.test_fingerprint import CALL
 
-WHOLE = evolve(CALL, route=evolve(CALL.route, kind=RouteKind.REPEATABLE))
+REPEATABLE_CALL = evolve(CALL, route=evolve(CALL.route, kind=RouteKind.REPEATABLE))
 
 
-class Watched:
-    """A watch before endpoints whose answers the test gives."""
+class CrashWatchHarness:
+    """A `CrashWatch` and nine endpoints, whose probe results the test gives."""
 
     def __init__(self) -> None:
         self.reactor = FakeReactor()
@@ -31,14 +31,16 @@
         self.directory = site.directory
         for number in range(9):
             self.put(f"e{number}")
-        self.sinks = []
+        self.probes = []
         client = Mock(link=Mock(full=False))
         client.send_probe = lambda record, call, sink, limit: (
-            self.sinks.append(sink) or Mock()
+            self.probes.append(sink) or Mock()
         )
-        self.told: list = []
+        self.reported_suspects: list = []
         self.quarantine = Quarantine()
-        self.gate = QuarantineGate(clock, self.quarantine, self.told.extend, Mock())
+        self.gate = QuarantineGate(
+            clock, self.quarantine, self.reported_suspects.extend, Mock()
+        )
         settings = Mock(timers=Mock(report_ms=150))
         self.health, metrics = Mock(), Mock()
         self.watch = CrashWatch(
@@ -49,60 +51,64 @@
         record = EndpointRecord(name, "engines", "h", 1, "z", 8, leaving)
         self.directory.put(record, at(1))
 
-    def lost(self, name: str, call=CALL, **run) -> None:
+    def lose_run(self, name: str, call=CALL, **run) -> None:
         self.watch.run_lost(call, LostRun(name, "ResponseFailed", **run))
 
-    def refuse(self) -> None:
-        self.sinks.pop().ended(Ending.NOT_SENT, "refused")
+    def refuse_probe(self) -> None:
+        self.probes.pop().ended(Ending.NOT_SENT, "refused")
 
-    def ends(self, name: str, call=CALL, **run) -> None:
-        self.lost(name, call, **run)
-        self.refuse()
+    def crash(self, name: str, call=CALL, **run) -> None:
+        self.lose_run(name, call, **run)
+        self.refuse_probe()
         self.reactor.advance(0.1)
 
     def strikes(self, call=CALL) -> dict[str, Sign]:
         record = self.quarantine.record(call.fingerprint)
-        return {x.endpoint_id: x.sign for x in record.strikes} if record else {}
+        return (
+            {strike.endpoint_id: strike.sign for strike in record.strikes}
+            if record
+            else {}
+        )
 
 
 @pytest.fixture
-def watched():
-    return Watched()
+def harness():
+    return CrashWatchHarness()
 
 
-def test_an_endpoint_that_refuses_right_after_it_lost_a_run_has_ended(watched):
-    watched.ends("e0", ran_ms=60)
-    assert watched.strikes() == {"e0": Sign.BEGAN}
-    watched.health.unreachable.assert_called_once_with("e0", "refused")
-    assert len(watched.told) == 1
+def test_an_endpoint_that_refuses_the_probe_has_crashed(harness):
+    harness.crash("e0", ran_ms=60)
+    assert harness.strikes() == {"e0": Sign.BEGAN}
+    harness.health.unreachable.assert_called_once_with("e0", "refused")
+    assert len(harness.reported_suspects) == 1
 
 
-def test_an_endpoint_that_answers_lost_only_the_answer(watched):
-    """Answers are lost on the way, and servers break answers off."""
-    watched.lost("e0", ran_ms=60)
-    sink = watched.sinks.pop()
+def test_an_endpoint_that_answers_the_probe_has_not_crashed(harness):
+    """A lost answer may be due to the network, or cut by the server on purpose."""
+    harness.lose_run("e0", ran_ms=60)
+    sink = harness.probes.pop()
     sink.head_arrived(ExchangeHead(404, []))
     sink.ended(Ending.WHOLE, "")
-    assert watched.strikes() == {}
-    watched.health.unreachable.assert_not_called()
+    assert harness.strikes() == {}
+    harness.health.unreachable.assert_not_called()
 
 
-def test_one_that_cuts_the_question_lives(watched):
-    watched.lost("e0", ran_ms=60)
-    watched.sinks.pop().ended(Ending.NO_ANSWER, "reset")
-    assert watched.strikes() == {}
+def test_an_endpoint_that_cuts_the_probe_has_not_crashed(harness):
+    harness.lose_run("e0", ran_ms=60)
+    harness.probes.pop().ended(Ending.NO_ANSWER, "reset")
+    assert harness.strikes() == {}
 
 
-def test_an_endpoint_that_gives_reports_and_is_silent_has_ended(watched):
-    watched.lost("e0", ran_ms=60)
-    watched.reactor.advance(0.2)
-    assert watched.strikes() == {"e0": Sign.BEGAN}
+def test_a_reporting_endpoint_that_times_out_has_crashed(harness):
+    harness.lose_run("e0", ran_ms=60)
+    harness.reactor.advance(0.2)
+    assert harness.strikes() == {"e0": Sign.BEGAN}
 
 
-def test_a_plain_service_may_let_a_question_wait(watched):
-    watched.lost("e0", WHOLE)
-    watched.reactor.advance(0.2)
-    assert watched.strikes(WHOLE) == {}
+def test_a_probe_timeout_of_a_plain_service_is_no_crash(harness):
+    harness.lose_run("e0", REPEATABLE_CALL)
+    harness.reactor.advance(0.2)
+    assert harness.strikes(REPEATABLE_CALL) == {}
 
 
 @pytest.mark.parametrize(
@@ -113,47 +119,47 @@
         ({"ran_ms": 500, "gave_ms": 400, "events": 9}, Sign.GAVE),
     ],
 )
-def test_what_was_seen_of_the_run_is_told(watched, run, sign):
-    watched.ends("e0", **run)
-    assert watched.strikes() == {"e0": sign}
+def test_the_strike_records_how_far_the_run_got(harness, run, sign):
+    harness.crash("e0", **run)
+    assert harness.strikes() == {"e0": sign}
 
 
-def test_a_run_that_gave_for_longer_than_a_moment_is_proved_sound(watched):
+def test_a_run_that_streamed_long_enough_proves_its_request_sound(harness):
     for number in range(3):
-        watched.ends(f"e{number}", ran_ms=60)
-    assert watched.gate.barred_ms(CALL) > 0
-    watched.lost("e3", ran_ms=1_500, gave_ms=1_100, events=30)
-    assert watched.gate.barred_ms(CALL) == 0
+        harness.crash(f"e{number}", ran_ms=60)
+    assert harness.gate.barred_ms(CALL) > 0
+    harness.lose_run("e3", ran_ms=1_500, gave_ms=1_100, events=30)
+    assert harness.gate.barred_ms(CALL) == 0
 
 
 @pytest.mark.parametrize("leaving", [True, False])
-def test_one_that_leaves_or_is_listed_no_more_ends_on_its_own(watched, leaving):
+def test_a_leaving_or_unlisted_endpoint_is_not_probed(harness, leaving):
     if leaving:
-        watched.put("e0", leaving=True)
+        harness.put("e0", leaving=True)
     else:
-        watched.directory.remove("e0", at(1))
-    watched.lost("e0", ran_ms=60)
-    assert watched.sinks == []
+        harness.directory.remove("e0", at(1))
+    harness.lose_run("e0", ran_ms=60)
+    assert harness.probes == []
 
 
-def test_runs_that_are_lost_together_ask_once(watched):
-    watched.lost("e0", ran_ms=60)
-    watched.lost("e0", evolve(CALL, body=b"another"), ran_ms=400)
-    assert len(watched.sinks) == 1
-    watched.refuse()
-    assert len(watched.quarantine) == 2
-    watched.lost("e1", ran_ms=60)
-    assert len(watched.sinks) == 1
+def test_runs_lost_together_share_one_probe(harness):
+    harness.lose_run("e0", ran_ms=60)
+    harness.lose_run("e0", evolve(CALL, body=b"another"), ran_ms=400)
+    assert len(harness.probes) == 1
+    harness.refuse_probe()
+    assert len(harness.quarantine) == 2
+    harness.lose_run("e1", ran_ms=60)
+    assert len(harness.probes) == 1
 
 
-def test_one_that_is_let_run_on_trial_may_be_sent_until_it_ends_an_endpoint(watched):
+def test_a_trial_request_may_be_sent_until_it_crashes_an_endpoint(harness):
     for number in range(3):
-        watched.ends(f"e{number}", ran_ms=60)
-    watched.reactor.advance(121)
-    mine, anothers = (QuarantinePass(watched.gate, CALL) for _ in range(2))
-    assert mine.may_send()
-    assert not anothers.may_send()
-    assert mine.may_send()
-    watched.ends("e3", ran_ms=60)
-    assert not mine.may_send()
-    assert mine.barred_ms > 1_000_000
+        harness.crash(f"e{number}", ran_ms=60)
+    harness.reactor.advance(121)
+    first_pass, second_pass = (QuarantinePass(harness.gate, CALL) for _ in range(2))
+    assert first_pass.may_send()
+    assert not second_pass.may_send()
+    assert first_pass.may_send()
+    harness.crash("e3", ran_ms=60)
+    assert not first_pass.may_send()
+    assert first_pass.barred_ms > 1_000_000
--- a/tests/cover/test_start_hold.py
+++ b/tests/cover/test_start_hold.py
@@ -1,20 +1,18 @@
-"""What comes before the first configuration waits for it, or is refused at once."""
+"""Requests before the first configuration wait for it, until a first read fails."""
 
 from coursekeel.gateway.admission._start_hold import FirstReadings, StartHold
 
 
-def held(hold: StartHold, count: int) -> tuple[list[int], list[int]]:
-    """Let some requests wait; gives their numbers, and who went on so far."""
+def hold_requests(hold: StartHold, count: int) -> tuple[list[int], list[int]]:
+    """Hold ``count`` requests; return their numbers, and the list of those resumed."""
     resumed: list[int] = []
-    numbers = [
-        hold.add(lambda each=each: resumed.append(each)) for each in range(count)
-    ]
+    numbers = [hold.add(lambda i=i: resumed.append(i)) for i in range(count)]
     return numbers, resumed
 
 
-def test_all_go_on_in_their_order_once_both_tables_are_known():
+def test_held_requests_resume_in_order_once_both_tables_are_loaded():
     hold = StartHold()
-    _, resumed = held(hold, 3)
+    _, resumed = hold_requests(hold, 3)
     assert len(hold) == 3
     hold.known()
     assert resumed == [0, 1, 2]
@@ -22,24 +20,24 @@
     assert len(hold) == 0
 
 
-def test_a_reading_that_fails_lets_none_wait_on():
+def test_a_failed_first_read_resumes_all_requests():
     hold = StartHold()
-    _, resumed = held(hold, 2)
+    _, resumed = hold_requests(hold, 2)
     hold.failed()
     assert resumed == [0, 1]
     assert hold.state is FirstReadings.FAILED
 
 
-def test_a_failure_after_the_start_is_none_of_the_start():
+def test_a_failure_after_the_first_reads_is_ignored():
     hold = StartHold()
     hold.known()
     hold.failed()
     assert hold.state is FirstReadings.KNOWN
 
 
-def test_who_has_waited_long_enough_goes_on_alone_and_once():
+def test_a_released_request_resumes_alone_and_once():
     hold = StartHold()
-    numbers, resumed = held(hold, 2)
+    numbers, resumed = hold_requests(hold, 2)
     hold.release(numbers[1])
     hold.release(numbers[1])
     assert resumed == [1]
@@ -47,9 +45,9 @@
     assert resumed == [1, 0]
 
 
-def test_a_caller_that_left_is_not_served():
+def test_a_withdrawn_request_is_not_resumed():
     hold = StartHold()
-    numbers, resumed = held(hold, 2)
+    numbers, resumed = hold_requests(hold, 2)
     hold.withdraw(numbers[0])
     hold.known()
     assert resumed == [1]
--- a/tests/cover/test_stop_window.py
+++ b/tests/cover/test_stop_window.py
@@ -1,4 +1,4 @@
-"""What comes during a stop is taken only if it can be answered before the end."""
+"""Requests during a stop are admitted only if they can be answered before the end."""
 
 import pytest
 from attrs import evolve
@@ -15,7 +15,7 @@
 from coursekeel.gateway.admission._stream_lengths import StreamLengths
 
 WINDOW = StopWindow(started_ms=1_000.0, settled_ms=3_600.0, last_ms=8_500.0)
-CALL = Route(
+CALL_ROUTE = Route(
     "r", "h", "/r/", RouteKind.SINGLE, (PoolShare("p"),), timeout_ms=800, target_ms=300
 )
 
@@ -24,40 +24,39 @@
     "now_ms, timeout_ms, taken",
     [
         (1_000, 800, True),
-        # The balancer may still send here, and nobody else gets this one.
+        # Until the balancer has noticed the stop, calls are admitted in any case.
         (3_500, 25_000, True),
         (3_700, 25_000, False),
         (7_700, 800, True),
         (7_701, 800, False),
-        # Seen on a played day: 7.5 s into a stop of 8 s.
+        # At the end of the window a call would be cut.
         (8_500, 800, False),
     ],
 )
-def test_a_call_needs_its_routes_time_before_the_end(now_ms, timeout_ms, taken):
-    route = evolve(CALL, timeout_ms=timeout_ms)
+def test_a_call_needs_its_routes_timeout_before_the_end(now_ms, timeout_ms, taken):
+    route = evolve(CALL_ROUTE, timeout_ms=timeout_ms)
     assert WINDOW.has_time_for(route, now_ms) is taken
 
 
 @pytest.mark.parametrize("kind", [RouteKind.STREAM, RouteKind.RESUMABLE])
 @pytest.mark.parametrize("now_ms, taken", [(1_500, True), (2_000, False)])
-def test_a_stream_has_no_bound_and_must_begin_early(kind, now_ms, taken):
-    assert WINDOW.has_time_for(evolve(CALL, kind=kind), now_ms) is taken
+def test_without_an_estimate_a_stream_must_start_early(kind, now_ms, taken):
+    assert WINDOW.has_time_for(evolve(CALL_ROUTE, kind=kind), now_ms) is taken
 
 
 @pytest.mark.parametrize(
     "upper_estimate_ms, now_ms, taken",
     [(2_000, 6_400, True), (2_000, 6_600, False), (9_000, 1_001, False)],
 )
-def test_a_stream_is_taken_if_a_long_one_can_still_end(
+def test_a_stream_is_admitted_if_a_long_one_can_still_finish(
     upper_estimate_ms, now_ms, taken
 ):
-    """Seen on played days: streams that came within 0.8 s after SIGTERM were taken and
-    cut at the end of the grace, since a long one took longer than that."""
-    stream = evolve(CALL, kind=RouteKind.RESUMABLE)
+    """Otherwise a stream would be cut at the end of the grace."""
+    stream = evolve(CALL_ROUTE, kind=RouteKind.RESUMABLE)
     assert WINDOW.has_time_for(stream, now_ms, upper_estimate_ms) is taken
 
 
-def test_how_long_streams_take_is_learned_by_route():
+def test_stream_durations_are_estimated_by_route():
     lengths = StreamLengths()
     assert lengths.upper_estimate_ms("a") is None
     for took_ms in [6_000, 7_000] * 30:
@@ -67,14 +66,14 @@
 
 
 @pytest.mark.parametrize("alone, least_ms", [(False, 50), (True, 2_600)])
-def test_a_stream_that_would_come_back_here_is_told_when_it_would_not(alone, least_ms):
+def test_a_stream_refused_by_the_only_instance_waits_for_the_balancer(alone, least_ms):
     lengths = StreamLengths()
     lengths.stream_finished("r", 9_000)
-    route = evolve(CALL, kind=RouteKind.RESUMABLE, anonymous=True)
-    table = RouteTable(ForwardingConfiguration(routes=(route,)))
-    given = Admission(
-        table, 0.0, 1e9, 1e9, 1, 9, WINDOW, WINDOW.started_ms, lengths, alone
+    route = evolve(CALL_ROUTE, kind=RouteKind.RESUMABLE, anonymous=True)
+    routes = RouteTable(ForwardingConfiguration(routes=(route,)))
+    state = Admission(
+        routes, 0.0, 1e9, 1e9, 1, 9, WINDOW, WINDOW.started_ms, lengths, alone
     )
-    refusal = admit(Arrival("h", "/r/x", ""), given)
+    refusal = admit(Arrival("h", "/r/x", ""), state)
     assert (refusal.status, refusal.code) == (503, "stopping")
     assert refusal.retry_after_ms == least_ms
--- a/tests/cover/test_stream_placement.py
+++ b/tests/cover/test_stream_placement.py
@@ -1,4 +1,4 @@
-"""A place that routing granted is given back when nothing is sent to it."""
+"""Slots granted by routing are released when nothing is sent; where runs resume."""
 
 from random import Random
 from unittest.mock import Mock
@@ -53,7 +53,7 @@
 
 @define(eq=False)
 class ScriptedClient(EndpointClient):
-    """Keeps what would be sent, and opens no socket."""
+    """Records requests instead of sending them."""
 
     sent: list[OutboundRequest] = field(factory=list)
     sinks: list[ExchangeSink] = field(factory=list)
@@ -65,17 +65,17 @@
 
 
 @define(eq=False)
-class ScriptedSite(KnownSite):
-    """Says of every key what the test says."""
+class ScriptedKnownSite(KnownSite):
+    """Accepts every key while ``is_fresh``."""
 
-    fresh: bool = True
+    is_fresh: bool = True
 
     def may_still_send(self, call, begun=False):
-        return self.fresh or begun
+        return self.is_fresh or begun
 
 
-class Site:
-    """One stream's task before three endpoints, without sockets or real time."""
+class StreamHarness:
+    """The tasks of one gateway, with three endpoints, no sockets and a fake clock."""
 
     def __init__(self, slack: float = 1_500.0) -> None:
         self.reactor = FakeReactor()
@@ -100,39 +100,44 @@
             )
         )
         routing = RoutingTask(self.reactor, self.clock, self.router)
-        known = self.known = ScriptedSite(
+        known_site = self.known_site = ScriptedKnownSite(
             self.reactor, self.clock, settings, self.directory, routing
         )
         link = OwnLink(self.reactor)
         self.client = ScriptedClient(self.reactor, self.clock, settings, Mock(), link)
         self.quarantine = Quarantine()
-        self.told: list[SuspectRecord] = []
+        self.suspects: list[SuspectRecord] = []
         self.crashes = Mock()
         self.context = GatewayContext(
             self.reactor,
             self.clock,
             Random(1),
             settings,
-            known,
+            known_site,
             routing,
             self.client,
-            EndpointHealth(self.clock, known, self.router, Mock()),
+            EndpointHealth(self.clock, known_site, self.router, Mock()),
             RetryBudgets(settings, lambda: None, Random(1), self.clock),
             Mock(),
-            QuarantineGate(self.clock, self.quarantine, self.told.extend, Mock()),
+            QuarantineGate(self.clock, self.quarantine, self.suspects.extend, Mock()),
             self.crashes,
         )
         self.reports = Mock()
         self.successors = Successors(self.context, self.reports)
-        self.reports.request_reports = lambda asked, done: done()
-        self.kept_at: frozenset[str] = frozenset()
-        self.reports.find_cached_prompt = lambda asked, key, done: done(self.kept_at)
+        self.reports.request_reports = lambda endpoint_ids, on_done: on_done()
+        self.cached_at: frozenset[str] = frozenset()
+        self.reports.find_cached_prompt = lambda endpoint_ids, prompt_key, on_done: (
+            on_done(self.cached_at)
+        )
         self.reply = Mock(head_sent=False)
 
     def start(
-        self, copies: bool = False, after: int | None = None, team: Team | None = None
+        self,
+        copies: bool = False,
+        resume_after: int | None = None,
+        team: Team | None = None,
     ) -> StreamTask:
-        caller = CallerHeaders("r1", "key", 20_000, after, 5_000, 100, "p1")
+        caller = CallerHeaders("r1", "key", 20_000, resume_after, 5_000, 100, "p1")
         call = AdmittedRequest(
             b"POST",
             "h",
@@ -151,154 +156,162 @@
         task.start()
         return task
 
-    def held(self) -> int:
+    def open_runs(self) -> int:
         return sum(self.router.load(f"e{n}").limit.running for n in range(3))
 
 
 @pytest.fixture
-def site():
-    return Site()
+def harness():
+    return StreamHarness()
 
 
-def test_a_stream_that_is_sent_holds_one_place(site):
-    site.start()
-    assert (len(site.client.sent), site.held()) == (1, 1)
+def test_a_sent_stream_holds_one_slot(harness):
+    harness.start()
+    assert (len(harness.client.sent), harness.open_runs()) == (1, 1)
 
 
-def test_an_old_belief_refuses_at_once_and_holds_no_place(site):
-    site.known.fresh = False
-    task = site.start()
-    assert not site.client.sent
-    assert site.held() == 0
+def test_a_stale_configuration_refuses_at_once_and_holds_no_slot(harness):
+    harness.known_site.is_fresh = False
+    task = harness.start()
+    assert not harness.client.sent
+    assert harness.open_runs() == 0
     assert task.core.ended
-    (refusal,) = site.reply.refuse.call_args.args
+    (refusal,) = harness.reply.refuse.call_args.args
     assert (refusal.status, refusal.code) == (503, "belief_old")
     assert refusal.retry_after_ms > 0
 
 
-def test_a_belief_that_grows_old_between_sends_refuses_too(site):
-    site.start()
-    site.known.fresh = False
-    site.client.sinks[0].ended(Ending.NOT_SENT, "refused")
-    assert len(site.client.sent) == 1
-    assert site.held() == 0
-    (refusal,) = site.reply.refuse.call_args.args
+def test_a_configuration_that_goes_stale_between_sends_refuses(harness):
+    harness.start()
+    harness.known_site.is_fresh = False
+    harness.client.sinks[0].ended(Ending.NOT_SENT, "refused")
+    assert len(harness.client.sent) == 1
+    assert harness.open_runs() == 0
+    (refusal,) = harness.reply.refuse.call_args.args
     assert (refusal.status, refusal.code) == (503, "belief_old")
 
 
-def begin(site: Site, sink: ExchangeSink) -> None:
-    """An endpoint answers with the stream's first event."""
-    site.client.dialect.judge = Mock(return_value=HeadVerdict.RAN)
+def send_first_event(harness: StreamHarness, sink: ExchangeSink) -> None:
+    """Deliver the head and the first event of a stream."""
+    harness.client.dialect.judge = Mock(return_value=HeadVerdict.RAN)
     sink.head_arrived(ExchangeHead(200, []))
     sink.data_arrived(b"id: 1\ndata: x\n\n")
 
 
-def test_a_stream_that_has_begun_goes_on_though_the_belief_is_old(site):
-    """Seen on a played day: in an outage of the store of 9 s for a third of the
-    instances, a stream that lost its endpoint was cut with a copy at hand."""
-    site.start(copies=True)
-    begin(site, site.client.sinks[0])
-    site.known.fresh = False
-    site.client.sinks[0].ended(Ending.CUT, "reset")
-    assert site.client.sent[1].copy_from
-    assert site.client.sent[1].resume_after == 1
-
-
-def test_a_stream_that_has_begun_goes_on_though_its_key_was_taken_away():
-    """Seen on a played day: three streams whose endpoints crashed were cut, since their
-    team's key was gone by then; beside them those whose endpoints lived went on."""
-    site = Site()
-    site.known = KnownSite(
-        site.reactor,
-        site.clock,
-        site.context.settings,
-        site.directory,
-        site.context.routing,
+def test_a_started_stream_resumes_with_a_stale_configuration(harness):
+    """An outage of the store must not cut a stream that a copy can resume."""
+    harness.start(copies=True)
+    send_first_event(harness, harness.client.sinks[0])
+    harness.known_site.is_fresh = False
+    harness.client.sinks[0].ended(Ending.CUT, "reset")
+    assert harness.client.sent[1].copy_from
+    assert harness.client.sent[1].resume_after == 1
+
+
+def test_a_started_stream_resumes_after_its_key_is_revoked():
+    """A crash of its endpoint must not cut a stream that would go on without it."""
+    harness = StreamHarness()
+    harness.known_site = KnownSite(
+        harness.reactor,
+        harness.clock,
+        harness.context.settings,
+        harness.directory,
+        harness.context.routing,
     )
-    site.context.site = site.known
+    harness.context.site = harness.known_site
     team = Team("team-1", (key_digest("key"),))
     limits = ForwardingConfiguration(1, teams=(team,), keyed=True)
-    site.known.routes = RouteTable(limits)
-    site.known.freshness.proved("configuration", 0.0)
-    site.start(copies=True, team=team)
-    begin(site, site.client.sinks[0])
-    site.known.routes = RouteTable(evolve(limits, teams=()))
-    site.client.sinks[0].ended(Ending.CUT, "reset")
-    assert site.client.sent[1].resume_after == 1
-    site.start(team=team)
-    assert len(site.client.sent) == 2, "a new request with that key is refused"
-
-
-def test_a_stream_that_comes_back_has_not_begun_here(site):
-    site.known.fresh = False
-    site.start(after=7)
-    assert not site.client.sent
-
-
-def test_a_spent_retry_budget_holds_no_place():
-    site = Site(slack=0.0)
-    site.start()
-    site.client.sinks[0].ended(Ending.CUT, "reset")
-    assert len(site.client.sent) == 1
-    assert site.held() == 0
-    (refusal,) = site.reply.refuse.call_args.args
+    harness.known_site.routes = RouteTable(limits)
+    harness.known_site.freshness.proved("configuration", 0.0)
+    harness.start(copies=True, team=team)
+    send_first_event(harness, harness.client.sinks[0])
+    harness.known_site.routes = RouteTable(evolve(limits, teams=()))
+    harness.client.sinks[0].ended(Ending.CUT, "reset")
+    assert harness.client.sent[1].resume_after == 1
+    harness.start(team=team)
+    assert len(harness.client.sent) == 2, "a new request with that key is refused"
+
+
+def test_a_stream_resumed_by_its_caller_does_not_count_as_started(harness):
+    harness.known_site.is_fresh = False
+    harness.start(resume_after=7)
+    assert not harness.client.sent
+
+
+def test_a_spent_retry_budget_refuses_and_holds_no_slot():
+    harness = StreamHarness(slack=0.0)
+    harness.start()
+    harness.client.sinks[0].ended(Ending.CUT, "reset")
+    assert len(harness.client.sent) == 1
+    assert harness.open_runs() == 0
+    (refusal,) = harness.reply.refuse.call_args.args
     assert refusal.code == "retry_budget"
 
 
-def test_an_endpoint_that_left_the_list_holds_no_place(site):
-    """Routing may grant what the list dropped in the same moment."""
-    call = site.start().call
+def test_a_grant_of_a_removed_endpoint_is_released(harness):
+    """Routing may grant an endpoint that is being removed from the list."""
+    call = harness.start().call
     task = StreamTask(
-        site.context, site.reports, site.successors, call, Mock(head_sent=False)
+        harness.context,
+        harness.reports,
+        harness.successors,
+        call,
+        Mock(head_sent=False),
     )
-    before = site.held()
-    site.reports.request_reports = Mock()
+    before = harness.open_runs()
+    harness.reports.request_reports = Mock()
     task.start()
-    site.directory.remove("e1", at(2))
-    site.router.sent_to_copy("e1")
+    harness.directory.remove("e1", at(2))
+    harness.router.sent_to_copy("e1")
     task.tell(Granted("e1"))
-    assert site.held() == before
+    assert harness.open_runs() == before
 
 
-def test_a_run_goes_on_at_its_copy(site):
-    site.start(copies=True)
-    begin(site, site.client.sinks[0])
-    keeper = site.client.sent[0].copy_to
-    site.client.sinks[0].ended(Ending.CUT, "reset")
+def test_a_lost_run_resumes_from_its_copy(harness):
+    harness.start(copies=True)
+    send_first_event(harness, harness.client.sinks[0])
+    copy_address = harness.client.sent[0].copy_to
+    harness.client.sinks[0].ended(Ending.CUT, "reset")
     assert (
-        site.client.sent[1].copy_from == site.client.sent[1].endpoint.address == keeper
+        harness.client.sent[1].copy_from
+        == harness.client.sent[1].endpoint.address
+        == copy_address
     )
-    assert site.held() == 1
+    assert harness.open_runs() == 1
 
 
-def _keeper(site: Site) -> EndpointRecord:
-    return site.directory.at_address(site.client.sent[0].copy_to)
+def _copy_endpoint(harness: StreamHarness) -> EndpointRecord:
+    return harness.directory.at_address(harness.client.sent[0].copy_to)
 
 
-def test_a_copy_at_an_endpoint_that_leaves_is_not_taken_up(site):
-    """Seen on a played day: a run was lost 3.2 s after the endpoint that kept its copy
-    had said that it leaves, and went there."""
-    site.start(copies=True)
-    begin(site, site.client.sinks[0])
-    site.directory.put(evolve(_keeper(site), leaving=True), at(2))
-    site.client.sinks[0].ended(Ending.CUT, "reset")
-    assert not site.client.sent[1].copy_from
-    assert site.client.sent[1].endpoint.endpoint_id != _keeper(site).endpoint_id
-    assert site.held() == 1
+def test_a_copy_at_a_leaving_endpoint_is_not_used(harness):
+    """The endpoint would stop during the resumed run."""
+    harness.start(copies=True)
+    send_first_event(harness, harness.client.sinks[0])
+    harness.directory.put(evolve(_copy_endpoint(harness), leaving=True), at(2))
+    harness.client.sinks[0].ended(Ending.CUT, "reset")
+    assert not harness.client.sent[1].copy_from
+    assert (
+        harness.client.sent[1].endpoint.endpoint_id
+        != _copy_endpoint(harness).endpoint_id
+    )
+    assert harness.open_runs() == 1
 
 
-def test_a_copys_address_that_another_pool_has_now_is_not_sent_to(site):
-    """Addresses of endpoints that are gone are given to endpoints of other pools."""
-    site.start(copies=True)
-    begin(site, site.client.sinks[0])
-    old = _keeper(site)
-    site.directory.remove(old.endpoint_id, at(2))
-    site.directory.put(evolve(old, endpoint_id="other", pool="plain"), at(3))
-    site.client.sinks[0].ended(Ending.CUT, "reset")
-    assert {send.endpoint.pool for send in site.client.sent} == {POOL}
+def test_a_copy_address_reused_by_another_pool_is_not_used(harness):
+    """The platform reuses addresses of removed endpoints, also for other pools."""
+    harness.start(copies=True)
+    send_first_event(harness, harness.client.sinks[0])
+    copy_endpoint = _copy_endpoint(harness)
+    harness.directory.remove(copy_endpoint.endpoint_id, at(2))
+    harness.directory.put(
+        evolve(copy_endpoint, endpoint_id="other", pool="plain"), at(3)
+    )
+    harness.client.sinks[0].ended(Ending.CUT, "reset")
+    assert {send.endpoint.pool for send in harness.client.sent} == {POOL}
 
 
-def a_call() -> AdmittedRequest:
+def make_call() -> AdmittedRequest:
     caller = CallerHeaders("r4", "key", 2_000, None)
     route = evolve(ROUTE, kind=RouteKind.REPEATABLE, timeout_ms=2_000)
     return AdmittedRequest(
@@ -306,113 +319,112 @@
     )
 
 
-def start_stream(site):
-    site.start()
-    return site.client.sinks[0], 20_000
+def start_stream(harness):
+    harness.start()
+    return harness.client.sinks[0], 20_000
 
 
-def start_call(site):
-    WholeAnswerTask(site.context, a_call(), site.reply).start()
-    return site.client.sinks[0], 2_000
+def start_call(harness):
+    WholeAnswerTask(harness.context, make_call(), harness.reply).start()
+    return harness.client.sinks[0], 2_000
 
 
 @pytest.mark.parametrize("start", [start_stream, start_call])
-def test_what_may_be_sent_still_may_when_its_connection_stands(site, start):
-    sink, _ = start(site)
+def test_an_unchanged_request_may_be_sent_once_connected(harness, start):
+    sink, _ = start(harness)
     assert sink.may_send()
 
 
 @pytest.mark.parametrize("start", [start_stream, start_call])
 @pytest.mark.parametrize("change", ["belief_old", "leaving", "gone", "too_late"])
-def test_what_changed_while_the_connection_was_made_is_looked_at(site, start, change):
-    """A pause of this process may lie between the question and the send."""
-    sink, due_ms = start(site)
-    endpoint = site.client.sent[0].endpoint
+def test_a_change_while_connecting_withholds_the_request(harness, start, change):
+    """This process may be paused between the check and the send."""
+    sink, due_ms = start(harness)
+    endpoint = harness.client.sent[0].endpoint
     match change:
         case "belief_old":
-            site.known.fresh = False
+            harness.known_site.is_fresh = False
         case "leaving":
-            site.directory.put(evolve(endpoint, leaving=True), at(2))
+            harness.directory.put(evolve(endpoint, leaving=True), at(2))
         case "gone":
-            site.directory.remove(endpoint.endpoint_id, at(2))
+            harness.directory.remove(endpoint.endpoint_id, at(2))
         case "too_late":
-            site.clock.now_ms = lambda: due_ms
+            harness.clock.now_ms = lambda: due_ms
     assert not sink.may_send()
 
 
 @pytest.mark.parametrize("start", [start_stream, start_call])
-def test_what_is_withheld_is_tried_elsewhere_and_speaks_against_nobody(
-    site, start, monkeypatch
+def test_a_withheld_request_goes_elsewhere_and_ejects_nothing(
+    harness, start, monkeypatch
 ):
     unreachable = Mock()
     monkeypatch.setattr(EndpointHealth, "unreachable", unreachable)
-    sink, _ = start(site)
-    first = site.client.sent[0].endpoint
-    site.directory.put(evolve(first, leaving=True), at(2))
+    sink, _ = start(harness)
+    first = harness.client.sent[0].endpoint
+    harness.directory.put(evolve(first, leaving=True), at(2))
     sink.ended(Ending.WITHHELD, "right_lapsed")
-    assert len(site.client.sent) == 2
-    assert site.client.sent[1].endpoint.endpoint_id != first.endpoint_id
-    assert site.held() == 1
+    assert len(harness.client.sent) == 2
+    assert harness.client.sent[1].endpoint.endpoint_id != first.endpoint_id
+    assert harness.open_runs() == 1
     unreachable.assert_not_called()
 
 
 @pytest.mark.parametrize("start", [start_stream, start_call])
-def test_what_is_withheld_for_its_key_is_refused(site, start):
-    sink, _ = start(site)
-    site.known.fresh = False
+def test_a_request_withheld_for_a_stale_configuration_is_refused(harness, start):
+    sink, _ = start(harness)
+    harness.known_site.is_fresh = False
     sink.ended(Ending.WITHHELD, "right_lapsed")
-    assert len(site.client.sent) == 1
-    assert site.held() == 0
-    (refusal,) = site.reply.refuse.call_args.args
+    assert len(harness.client.sent) == 1
+    assert harness.open_runs() == 0
+    (refusal,) = harness.reply.refuse.call_args.args
     assert (refusal.status, refusal.code) == (503, "belief_old")
 
 
-def test_a_call_that_is_not_sent_tells_nothing_of_how_long_runs_take(site):
-    site.known.fresh = False
-    usual_ms = {n: site.router.load(f"e{n}").usual_run_ms for n in range(3)}
+def test_an_unsent_call_does_not_change_run_time_estimates(harness):
+    harness.known_site.is_fresh = False
+    usual_ms = {n: harness.router.load(f"e{n}").usual_run_ms for n in range(3)}
     caller = CallerHeaders("r2", "key", 2_000, None)
     route = evolve(ROUTE, kind=RouteKind.REPEATABLE, timeout_ms=2_000)
     call = AdmittedRequest(
         b"GET", "h", b"/x", [], b"", caller, route, POOL, False, None, 0, 2_000
     )
-    WholeAnswerTask(site.context, call, site.reply).start()
-    assert not site.client.sent
-    assert site.held() == 0
-    assert usual_ms == {n: site.router.load(f"e{n}").usual_run_ms for n in range(3)}
+    WholeAnswerTask(harness.context, call, harness.reply).start()
+    assert not harness.client.sent
+    assert harness.open_runs() == 0
+    assert usual_ms == {n: harness.router.load(f"e{n}").usual_run_ms for n in range(3)}
 
 
-def test_answers_let_an_endpoints_limit_grow_again(site):
-    """Seen in the code: the gateway told of refusals and never of successes, so that
-    a limit that had fallen stayed low for as long as the endpoint lived."""
+def test_successes_raise_an_endpoints_limit_again(harness):
+    """Otherwise a limit that was lowered by rejections would stay low."""
     for number in range(3):
-        site.router.turned_away(f"e{number}", 0.0)
-    before = [site.router.load(f"e{n}").limit.limit for n in range(3)]
+        harness.router.turned_away(f"e{number}", 0.0)
+    before = [harness.router.load(f"e{n}").limit.limit for n in range(3)]
     caller = CallerHeaders("r3", "key", 2_000, None)
     route = evolve(ROUTE, kind=RouteKind.REPEATABLE, timeout_ms=2_000)
     call = AdmittedRequest(
         b"GET", "h", b"/x", [], b"", caller, route, POOL, False, None, 0, 2_000
     )
-    WholeAnswerTask(site.context, call, site.reply).start()
-    site.client.dialect.judge = Mock(return_value=HeadVerdict.RAN)
-    site.client.dialect.answer_headers = Mock(return_value=[])
-    site.client.sinks[0].head_arrived(ExchangeHead(200, []))
-    site.client.sinks[0].ended(Ending.WHOLE, "")
-    after = [site.router.load(f"e{n}").limit.limit for n in range(3)]
+    WholeAnswerTask(harness.context, call, harness.reply).start()
+    harness.client.dialect.judge = Mock(return_value=HeadVerdict.RAN)
+    harness.client.dialect.answer_headers = Mock(return_value=[])
+    harness.client.sinks[0].head_arrived(ExchangeHead(200, []))
+    harness.client.sinks[0].ended(Ending.WHOLE, "")
+    after = [harness.router.load(f"e{n}").limit.limit for n in range(3)]
     assert sum(after) > sum(before)
 
 
-@pytest.mark.parametrize("keeper", ["e0", "e1", "e2"])
-def test_a_stream_that_comes_back_goes_where_its_prompt_is_kept(keeper):
-    """Its instance is gone, and no other knows where the prompt was read."""
-    site = Site()
-    site.kept_at = frozenset({keeper})
-    site.start(after=7)
-    assert site.client.sent[0].endpoint.endpoint_id == keeper
-    assert site.client.sent[0].resume_after == 7
+@pytest.mark.parametrize("endpoint_id", ["e0", "e1", "e2"])
+def test_a_resumed_stream_goes_where_its_prompt_is_cached(endpoint_id):
+    """Its former instance is gone, and no other knows where the prompt is cached."""
+    harness = StreamHarness()
+    harness.cached_at = frozenset({endpoint_id})
+    harness.start(resume_after=7)
+    assert harness.client.sent[0].endpoint.endpoint_id == endpoint_id
+    assert harness.client.sent[0].resume_after == 7
 
 
-def test_a_stream_from_its_start_asks_nobody_whether_its_prompt_is_kept(site):
-    site.reports.find_cached_prompt = Mock()
-    site.start()
-    site.reports.find_cached_prompt.assert_not_called()
-    assert len(site.client.sent) == 1
+def test_a_new_stream_does_not_search_for_its_cached_prompt(harness):
+    harness.reports.find_cached_prompt = Mock()
+    harness.start()
+    harness.reports.find_cached_prompt.assert_not_called()
+    assert len(harness.client.sent) == 1
