--- a/src/coursekeel/gateway/admission/_admission.py
+++ b/src/coursekeel/gateway/admission/_admission.py
@@ -18,8 +18,8 @@
 
 from coursekeel.forwarding import Route, RouteTable, Team
 from coursekeel.gateway.admission._refusals import (
-    ELSEWHERE_RETRY_MS,
     NOT_YET_RETRY_MS,
+    OTHER_INSTANCE_RETRY_MS,
     GatewayRefusal,
 )
 from coursekeel.gateway.admission._stop_window import StopWindow
@@ -28,8 +28,10 @@
 __all__ = ["Admission", "Admitted", "Arrival", "admit"]
 
 _UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
-_STALE_CONFIGURATION = GatewayRefusal(_UNAVAILABLE, "belief_old", ELSEWHERE_RETRY_MS)
-_STOPPING = GatewayRefusal(_UNAVAILABLE, "stopping", ELSEWHERE_RETRY_MS)
+_STALE_CONFIGURATION = GatewayRefusal(
+    _UNAVAILABLE, "belief_old", OTHER_INSTANCE_RETRY_MS
+)
+_STOPPING = GatewayRefusal(_UNAVAILABLE, "stopping", OTHER_INSTANCE_RETRY_MS)
 _NO_ROUTES = GatewayRefusal(_UNAVAILABLE, "no_configuration", NOT_YET_RETRY_MS)
 _TOO_MANY_OPEN = GatewayRefusal(_UNAVAILABLE, "too_many_open", NOT_YET_RETRY_MS)
 _NO_ROUTE = GatewayRefusal(HTTPStatus.NOT_FOUND, "no_route")
@@ -113,4 +115,4 @@
     if not state.alone_in_zone:
         return _STOPPING
     settled_ms = stop.settled_ms - state.now_ms
-    return evolve(_STOPPING, retry_after_ms=max(settled_ms, ELSEWHERE_RETRY_MS))
+    return evolve(_STOPPING, retry_after_ms=max(settled_ms, OTHER_INSTANCE_RETRY_MS))
--- a/src/coursekeel/gateway/admission/_refusals.py
+++ b/src/coursekeel/gateway/admission/_refusals.py
@@ -18,8 +18,8 @@
 from coursekeel.answers import RunState
 
 __all__ = [
-    "ELSEWHERE_RETRY_MS",
     "NOT_YET_RETRY_MS",
+    "OTHER_INSTANCE_RETRY_MS",
     "STOPS_ENDPOINTS",
     "STREAM_RETRY_MS",
     "WHOLE_RETRY_MS",
@@ -36,7 +36,7 @@
 
 # Another instance can probably serve the request now: this one's configuration is too
 # old, it is stopping, or its share of the retry budget is spent.
-ELSEWHERE_RETRY_MS = 50.0
+OTHER_INSTANCE_RETRY_MS = 50.0
 
 # No endpoint for a whole answer, or its deadline passed before it was sent. A fraction
 # of such routes' target latency of 0.3 to 1 s.
--- a/src/coursekeel/gateway/endpoints/_crash_watch.py
+++ b/src/coursekeel/gateway/endpoints/_crash_watch.py
@@ -20,8 +20,8 @@
 from coursekeel.gateway.endpoints._endpoint_probe import (
     EndpointProbe,
     ProbeFailure,
+    ProbeFailureKind,
     ProbeResult,
-    Silence,
 )
 from coursekeel.gateway.site._known_site import KnownSite
 from coursekeel.reactor import Reactor
@@ -89,6 +89,6 @@
 
 def _confirms_crash(result: ProbeFailure, gives_reports: bool) -> bool:
     """Return whether the probe proves a crash; a plain service may only be busy."""
-    if result.silence is Silence.TOO_LATE:
+    if result.kind is ProbeFailureKind.TIMED_OUT:
         return gives_reports
-    return result.silence is Silence.NOT_REACHED
+    return result.kind is ProbeFailureKind.NOT_REACHED
--- a/src/coursekeel/gateway/endpoints/_endpoint_probe.py
+++ b/src/coursekeel/gateway/endpoints/_endpoint_probe.py
@@ -17,14 +17,20 @@
 from coursekeel.reactor import Reactor
 from coursekeel.units import MS_PER_SECOND
 
-__all__ = ["EndpointProbe", "ProbeFailure", "ProbeResponse", "ProbeResult", "Silence"]
+__all__ = [
+    "EndpointProbe",
+    "ProbeFailure",
+    "ProbeFailureKind",
+    "ProbeResponse",
+    "ProbeResult",
+]
 
 
-class Silence(Enum):
+class ProbeFailureKind(Enum):
     """Why a probe has no response: no connection, a timeout, or a cut response."""
 
     NOT_REACHED = "not_reached"
-    TOO_LATE = "too_late"
+    TIMED_OUT = "too_late"
     CUT = "cut"
 
 
@@ -40,7 +46,7 @@
 class ProbeFailure:
     """The probe got no complete response; ``reason`` is for the log."""
 
-    silence: Silence
+    kind: ProbeFailureKind
     reason: str
 
 
@@ -84,9 +90,9 @@
         if ending is Ending.WHOLE and self._head is not None:
             self.on_result(ProbeResponse(self._head.status, b"".join(self._body)))
         elif ending is Ending.NOT_SENT:
-            self.on_result(ProbeFailure(Silence.NOT_REACHED, reason))
+            self.on_result(ProbeFailure(ProbeFailureKind.NOT_REACHED, reason))
         else:
-            self.on_result(ProbeFailure(Silence.CUT, reason))
+            self.on_result(ProbeFailure(ProbeFailureKind.CUT, reason))
 
     def _start_timeout(self) -> None:
         timeout_s = self.timeout_ms / MS_PER_SECOND
@@ -98,4 +104,4 @@
             return
         assert self._exchange is not None
         self._exchange.abort()
-        self.on_result(ProbeFailure(Silence.TOO_LATE, "too_late"))
+        self.on_result(ProbeFailure(ProbeFailureKind.TIMED_OUT, "too_late"))
--- a/src/coursekeel/gateway/endpoints/_load_reports.py
+++ b/src/coursekeel/gateway/endpoints/_load_reports.py
@@ -22,9 +22,9 @@
 from coursekeel.gateway.endpoints._endpoint_probe import (
     EndpointProbe,
     ProbeFailure,
+    ProbeFailureKind,
     ProbeResponse,
     ProbeResult,
-    Silence,
 )
 from coursekeel.observe import log_event
 from coursekeel.routing import LoadReport
@@ -131,9 +131,9 @@
 
     def _update_health(self, endpoint_id: str, result: ProbeFailure) -> None:
         """Eject an endpoint without a report; even full ones answer within a few ms."""
-        if result.silence is Silence.NOT_REACHED:
+        if result.kind is ProbeFailureKind.NOT_REACHED:
             self.context.health.unreachable(endpoint_id, result.reason)
-        elif result.silence is Silence.TOO_LATE:
+        elif result.kind is ProbeFailureKind.TIMED_OUT:
             self.context.health.unreachable(endpoint_id, "report_timeout")
 
     def _update_routing(
--- a/src/coursekeel/gateway/streams/_silence_doubt.py
+++ b/src/coursekeel/gateway/streams/_silence_doubt.py
@@ -2,8 +2,8 @@
 
 Rule: a run without an event for `silence_ms` is lost, unless endpoints of its pool were
 recently found alive during such a stall. Then the endpoint's report is requested: the
-run is lost if there is no report or the report doesn't list it; a listed run gets a few
-times `silence_ms`, and as long as it is listed while the retry budget is spent. Reason:
+run is lost if there is no report or the report doesn't list it. A listed run may stall
+for a few times `silence_ms`, or without limit while the retry budget is spent. Reason:
 on some engines the prefill of a long prompt stalls all runs beside it.
 
 Owns the count of one stream's stalls since its last event. Relies on `LoadReports`.
@@ -73,10 +73,10 @@
         self.reports.request_report(endpoint_id, report_received)
 
     def _request_report(self, endpoint_id: str) -> None:
-        requested_at = self._position
+        requested_position = self._position
 
         def report_received(report: EndpointReport | None) -> None:
-            if self._position != requested_at:
+            if self._position != requested_position:
                 return
             if report is None or self.run_id not in report.runs:
                 self.on_lost(endpoint_id)
--- a/src/coursekeel/gateway/streams/_stream_task.py
+++ b/src/coursekeel/gateway/streams/_stream_task.py
@@ -45,7 +45,7 @@
 from coursekeel.gateway._request import AdmittedRequest
 from coursekeel.gateway._retry_budgets import SendAccount
 from coursekeel.gateway.admission._refusals import (
-    ELSEWHERE_RETRY_MS,
+    OTHER_INSTANCE_RETRY_MS,
     STOPS_ENDPOINTS,
     STREAM_RETRY_MS,
     refusal_after_loss,
@@ -123,12 +123,12 @@
         """Return whether the stalled runs are lost now; called by the driver."""
         if self.context.endpoints.link.full:
             return False
-        started_at = [
+        endpoint_ids = [
             attempt.endpoint_id
             for attempt in self._open_attempts.values()
             if attempt.has_started
         ]
-        return self._stall_check.runs_lost(started_at, self.core.ledger.next_position)
+        return self._stall_check.runs_lost(endpoint_ids, self.core.ledger.next_position)
 
     def _policy(self) -> AnswerPolicy:
         """Return the core's limits for this request.
@@ -225,7 +225,7 @@
         self.tell(AttemptEnded(action.attempt, Loss.NOT_SENT))
 
     @property
-    def _has_delivered(self) -> bool:
+    def _has_new_events(self) -> bool:
         """Whether the core has received an event beyond those that the caller has."""
         first_position = self.call.caller.resume_after or 0
         return self.core.ledger.next_position > first_position
@@ -234,7 +234,7 @@
         """Return whether a run may be sent now; if not, the next search is refused."""
         if self._refusal_code:
             return False
-        if not self.context.site.may_still_send(self.call, self._has_delivered):
+        if not self.context.site.may_still_send(self.call, self._has_new_events):
             self._refusal_code = "belief_old"
         elif not self._quarantine_pass.may_send():
             self._refusal_code = STOPS_ENDPOINTS
@@ -244,7 +244,7 @@
             self._refusal_code = "retry_budget"
         else:
             return True
-        self._retry_after_ms = ELSEWHERE_RETRY_MS
+        self._retry_after_ms = OTHER_INSTANCE_RETRY_MS
         return False
 
     def may_still_send(self, endpoint: EndpointRecord) -> bool:
@@ -257,7 +257,7 @@
             return False
         if not context.versions.may_have(record):
             return False
-        may_act = context.site.may_still_send(self.call, self._has_delivered)
+        may_act = context.site.may_still_send(self.call, self._has_new_events)
         return may_act and self._quarantine_pass.may_send()
 
     def _send(self, action: OpenAttempt, record: EndpointRecord) -> None:
@@ -316,7 +316,7 @@
         return number in self._open_attempts
 
     def not_sent(self) -> None:
-        """Take a send that reached no endpoint off the retry budget."""
+        """Return the budget of a send that reached no endpoint."""
         self._send_account.not_sent()
 
     def attempt_ended(self, number: int) -> None:
--- a/src/coursekeel/gateway/whole/_whole_task.py
+++ b/src/coursekeel/gateway/whole/_whole_task.py
@@ -109,7 +109,9 @@
             case Reply():
                 self._send_reply(action.reply)
             case _:
-                raise AssertionError(f"no claim was asked for: {action}")
+                raise AssertionError(
+                    f"unexpected action of a call without a claim: {action}"
+                )
 
     # Finding an endpoint and sending.
 
