--- a/src/coursekeel/gateway/endpoints/__init__.py
+++ b/src/coursekeel/gateway/endpoints/__init__.py
@@ -1,3 +1,3 @@
-"""How endpoints are reached, asked, and found dead."""
+"""Connections to endpoints, probes, and detection of failed endpoints."""
 
 __all__: list[str] = []
