--- a/src/coursekeel/gateway/admission/_admission.py
+++ b/src/coursekeel/gateway/admission/_admission.py
@@ -1,13 +1,13 @@
-"""Admit: may this instance take a request, and for which route and team?
+"""Admit or refuse a request, and find its route and team.
 
-Rule: a request is taken if its route is known, its key is known and known freshly
-enough, and the instance has room and time for it. Whatever else comes is refused at
-once, since waiting makes none of these true for the caller.
+Rule: a request is admitted if its route and key are in the cached configuration, the
+configuration is fresh enough, and the instance has capacity and time for it. Any other
+request is refused at once.
 
-Two ages of what is known of routes and keys bound the answer (both from `revoke_ms`,
-see `GatewayTimers`): past `max_key_age_ms` no key is acted on, because it may have been
-taken away; past `max_unknown_age_ms` a route or key that isn't known here is no longer
-called unknown (404, 401), because it may be new, and another instance may know it.
+Two limits on the configuration's age apply, both from `revoke_ms` (`GatewayTimers`).
+Past `max_key_age_ms` no key is accepted, because it may have been revoked; past
+`max_unknown_age_ms` a missing route or key is not reported as unknown (404, 401),
+because it may be new, and another instance may have it.
 
 A core: no sockets, no clock. Units: milliseconds of this process's clock.
 """
@@ -18,8 +18,8 @@
 
 from coursekeel.forwarding import Route, RouteTable, Team
 from coursekeel.gateway.admission._refusals import (
-    ELSEWHERE_RETRY_MS,
     NOT_YET_RETRY_MS,
+    OTHER_INSTANCE_RETRY_MS,
     GatewayRefusal,
 )
 from coursekeel.gateway.admission._stop_window import StopWindow
@@ -28,17 +28,19 @@
 __all__ = ["Admission", "Admitted", "Arrival", "admit"]
 
 _UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
-_TOO_OLD = GatewayRefusal(_UNAVAILABLE, "belief_old", ELSEWHERE_RETRY_MS)
-_STOPPING = GatewayRefusal(_UNAVAILABLE, "stopping", ELSEWHERE_RETRY_MS)
+_STALE_CONFIGURATION = GatewayRefusal(
+    _UNAVAILABLE, "belief_old", OTHER_INSTANCE_RETRY_MS
+)
+_STOPPING = GatewayRefusal(_UNAVAILABLE, "stopping", OTHER_INSTANCE_RETRY_MS)
 _NO_ROUTES = GatewayRefusal(_UNAVAILABLE, "no_configuration", NOT_YET_RETRY_MS)
-_NO_ROOM = GatewayRefusal(_UNAVAILABLE, "too_many_open", NOT_YET_RETRY_MS)
+_TOO_MANY_OPEN = GatewayRefusal(_UNAVAILABLE, "too_many_open", NOT_YET_RETRY_MS)
 _NO_ROUTE = GatewayRefusal(HTTPStatus.NOT_FOUND, "no_route")
 _UNKNOWN_KEY = GatewayRefusal(HTTPStatus.UNAUTHORIZED, "unknown_key")
 
 
 @frozen
 class Arrival:
-    """What admission looks at in a request; ``host`` without its port."""
+    """The parts of a request that admission checks; ``host`` without its port."""
 
     host: str
     path: str
@@ -47,7 +49,7 @@
 
 @frozen
 class Admitted:
-    """The request may be served; without a team it needed no key."""
+    """The request is admitted; ``team`` is None if it needed no key."""
 
     route: Route
     team: Team | None
@@ -55,11 +57,12 @@
 
 @frozen
 class Admission:
-    """What an instance knows and bears at one moment.
+    """An instance's state at one time, as far as admission depends on it.
 
-    ``age_ms`` is how long ago what is known of routes and keys was last proven.
-    ``open_requests`` counts the request in question. ``alone_in_zone``: no other
-    instance is known in this availability zone, so that callers would come back here.
+    ``age_ms`` is the time since the cached routes and keys were last confirmed by a
+    store response. ``open_requests`` includes the request to admit. With
+    ``alone_in_zone`` this is the only known instance of its availability zone, so that
+    callers would return here.
     """
 
     routes: RouteTable | None
@@ -74,37 +77,42 @@
     alone_in_zone: bool = False
 
     @property
-    def fresh_enough_to_deny(self) -> bool:
-        """Say whether what isn't known here can be called unknown."""
+    def may_report_unknown(self) -> bool:
+        """Whether the configuration is fresh enough to report 404 or 401."""
         return self.age_ms <= self.max_unknown_age_ms
 
 
-def admit(arrival: Arrival, given: Admission) -> Admitted | GatewayRefusal:
-    """Take a request, or say why not."""
-    if given.routes is None:
+def admit(arrival: Arrival, state: Admission) -> Admitted | GatewayRefusal:
+    """Admit a request, or return the refusal to send."""
+    if state.routes is None:
         return _NO_ROUTES
-    if given.open_requests > given.max_open_requests:
-        return _NO_ROOM
-    route = given.routes.route(arrival.host, arrival.path)
+    if state.open_requests > state.max_open_requests:
+        return _TOO_MANY_OPEN
+    route = state.routes.route(arrival.host, arrival.path)
     if route is None:
-        return _NO_ROUTE if given.fresh_enough_to_deny else _TOO_OLD
-    if route.anonymous or not given.routes.configuration.keyed:
-        return _in_time(Admitted(route, None), given)
-    if given.age_ms > given.max_key_age_ms:
-        return _TOO_OLD
-    team = given.routes.team(arrival.key)
+        return _NO_ROUTE if state.may_report_unknown else _STALE_CONFIGURATION
+    if route.anonymous or not state.routes.configuration.keyed:
+        return _check_stop_window(Admitted(route, None), state)
+    if state.age_ms > state.max_key_age_ms:
+        return _STALE_CONFIGURATION
+    team = state.routes.team(arrival.key)
     if team is None:
-        return _UNKNOWN_KEY if given.fresh_enough_to_deny else _TOO_OLD
-    return _in_time(Admitted(route, team), given)
+        return _UNKNOWN_KEY if state.may_report_unknown else _STALE_CONFIGURATION
+    return _check_stop_window(Admitted(route, team), state)
+
 
+def _check_stop_window(
+    admitted: Admitted, state: Admission
+) -> Admitted | GatewayRefusal:
+    """Refuse a request that can't be answered before the instance stops.
 
-def _in_time(admitted: Admitted, given: Admission) -> Admitted | GatewayRefusal:
-    """A request that can't be answered before the end of a stop goes elsewhere."""
-    stop, route = given.stop, admitted.route
-    long_ms = given.lengths.long_ms(route.name)
-    if stop is None or stop.leaves_time_for(route, given.now_ms, long_ms):
+    If callers would return here, `Retry-After` lasts until the balancer has noticed.
+    """
+    stop, route = state.stop, admitted.route
+    upper_estimate_ms = state.lengths.upper_estimate_ms(route.name)
+    if stop is None or stop.has_time_for(route, state.now_ms, upper_estimate_ms):
         return admitted
-    if not given.alone_in_zone:
+    if not state.alone_in_zone:
         return _STOPPING
-    settled_ms = stop.settled_ms - given.now_ms
-    return evolve(_STOPPING, retry_after_ms=max(settled_ms, ELSEWHERE_RETRY_MS))
+    settled_ms = stop.settled_ms - state.now_ms
+    return evolve(_STOPPING, retry_after_ms=max(settled_ms, OTHER_INSTANCE_RETRY_MS))
--- a/src/coursekeel/gateway/endpoints/_crash_watch.py
+++ b/src/coursekeel/gateway/endpoints/_crash_watch.py
@@ -1,12 +1,12 @@
-"""Did an endpoint end while it had a request, and what was seen of the run there?
+"""Find out whether an endpoint crashed while it ran a request.
 
-Rule: a run whose connection ended, or that fell silent, is no proof: answers are lost
-on the way, and links fail. So the endpoint is asked once; only one that refuses to be
-reached has ended, or, if it gives reports, one that doesn't answer. One that said that
-it leaves ends on its own.
+Rule: a run whose connection closed, or that stalled, doesn't prove a crash, since
+network links fail too. So the endpoint is probed once: it has crashed if it can't be
+reached, or if it gives reports and doesn't answer in time. Losses at an endpoint that
+is leaving, or no longer listed, don't count.
 
-Owns the questions that are open, one an endpoint. Relies on `LostRuns` for the runs
-that wait for each.
+Owns the open probes, one per endpoint. Relies on `LostRuns` for the runs that wait for
+a probe.
 """
 
 from attrs import define, field
@@ -17,11 +17,11 @@
 from coursekeel.gateway._request import AdmittedRequest
 from coursekeel.gateway.endpoints._endpoint_client import EndpointClient
 from coursekeel.gateway.endpoints._endpoint_health import EndpointHealth
-from coursekeel.gateway.endpoints._endpoint_question import (
-    EndpointQuestion,
-    NoAnswer,
-    QuestionEnd,
-    Silence,
+from coursekeel.gateway.endpoints._endpoint_probe import (
+    EndpointProbe,
+    ProbeFailure,
+    ProbeFailureKind,
+    ProbeResult,
 )
 from coursekeel.gateway.site._known_site import KnownSite
 from coursekeel.reactor import Reactor
@@ -33,7 +33,7 @@
 
 @define(eq=False)
 class CrashWatch:
-    """Tells the gate which requests endpoints had when they ended."""
+    """Reports to the quarantine gate which requests ran on endpoints that crashed."""
 
     reactor: Reactor
     clock: Clock
@@ -43,11 +43,14 @@
     health: EndpointHealth
     gate: QuarantineGate
     metrics: GatewayMetrics
-    _lost: LostRuns = field(factory=LostRuns)
-    _gives_reports: set[str] = field(factory=set)
+    _lost_runs: LostRuns = field(factory=LostRuns)
+    _reporting_endpoints: set[str] = field(factory=set)
 
     def run_lost(self, call: AdmittedRequest, lost: LostRun) -> None:
-        """A run's connection ended, or it was silent for too long."""
+        """Probe the endpoint of a run whose connection closed or that stalled.
+
+        A run that sent events for long enough proves its request sound instead.
+        """
         sign = sign_of(lost.ran_ms, lost.gave_ms)
         if sign is None:
             self.gate.proved_sound(call)
@@ -56,34 +59,36 @@
         if record is None or record.leaving:
             return
         if call.route.kind.streams:
-            self._gives_reports.add(lost.endpoint_id)
+            self._reporting_endpoints.add(lost.endpoint_id)
         suspect = Suspect(call.fingerprint, sign, self.clock.now_ms())
-        if self._lost.add(lost.endpoint_id, suspect):
-            self._ask(record)
+        if self._lost_runs.add(lost.endpoint_id, suspect):
+            self._probe(record)
 
-    def _ask(self, endpoint: EndpointRecord) -> None:
-        EndpointQuestion(
+    def _probe(self, endpoint: EndpointRecord) -> None:
+        EndpointProbe(
             self.reactor,
             self.client,
             endpoint,
             self.client.dialect.report,
             self.settings.timers.report_ms,
-            lambda end: self._answered(endpoint.endpoint_id, end),
+            lambda result: self._probe_ended(endpoint.endpoint_id, result),
         ).start()
 
-    def _answered(self, endpoint_id: str, end: QuestionEnd) -> None:
-        suspects = self._lost.taken(endpoint_id)
-        gives_reports = endpoint_id in self._gives_reports
-        self._gives_reports.discard(endpoint_id)
-        if not isinstance(end, NoAnswer) or not _proves_end(end, gives_reports):
+    def _probe_ended(self, endpoint_id: str, result: ProbeResult) -> None:
+        suspects = self._lost_runs.taken(endpoint_id)
+        gives_reports = endpoint_id in self._reporting_endpoints
+        self._reporting_endpoints.discard(endpoint_id)
+        if not isinstance(result, ProbeFailure) or not _confirms_crash(
+            result, gives_reports
+        ):
             return
-        self.health.unreachable(endpoint_id, end.reason)
+        self.health.unreachable(endpoint_id, result.reason)
         self.metrics.endpoint_ended(endpoint_id, [x.fingerprint for x in suspects])
         self.gate.struck(endpoint_id, suspects)
 
 
-def _proves_end(end: NoAnswer, gives_reports: bool) -> bool:
-    """A plain service may have a question wait for a place: that proves nothing."""
-    if end.silence is Silence.TOO_LATE:
+def _confirms_crash(result: ProbeFailure, gives_reports: bool) -> bool:
+    """Return whether the probe proves a crash; a plain service may only be busy."""
+    if result.kind is ProbeFailureKind.TIMED_OUT:
         return gives_reports
-    return end.silence is Silence.NOT_REACHED
+    return result.kind is ProbeFailureKind.NOT_REACHED
--- a/src/coursekeel/gateway/streams/_silence_doubt.py
+++ b/src/coursekeel/gateway/streams/_silence_doubt.py
@@ -1,14 +1,12 @@
-"""Doubt a run that has begun and fell silent: is its endpoint gone, or only busy?
+"""Decide whether a run that stalled after its first event is lost.
 
-Rule: after `silence_ms` a run is given up, unless its pool's endpoints were lately seen
-to live through such a silence. Then the endpoint is asked for its report: without one
-the run is given up at once, and a run that it names is waited for a few times as long,
-and while no repeat is left for as long as it is named. Reason: on some engines a long
-prompt that is being read holds up all that run beside it for longer than the silence
-that shows others' deaths soonest. Giving those runs up cost prompts read anew, and at
-last streams of sound endpoints once the retry budget was spent.
+Rule: a run without an event for `silence_ms` is lost, unless endpoints of its pool were
+recently found alive during such a stall. Then the endpoint's report is requested: the
+run is lost if there is no report or the report doesn't list it. A listed run may stall
+for a few times `silence_ms`, or without limit while the retry budget is spent. Reason:
+on some engines the prefill of a long prompt stalls all runs beside it.
 
-Owns what one stream asked since its last event. Relies on `LoadReports` to ask.
+Owns the count of one stream's stalls since its last event. Relies on `LoadReports`.
 """
 
 from collections.abc import Callable
@@ -20,65 +18,69 @@
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 from coursekeel.runtime import Clock
 
-__all__ = ["SilenceDoubt"]
+__all__ = ["StallCheck"]
 
-# A silence of four times `silence_ms` is over the pause that callers bear anyway.
-_MOST_SILENCES = 4
+# Four times `silence_ms` is longer than the gap that callers accept.
+_MAX_STALLS = 4
 
 
 @define(eq=False)
-class SilenceDoubt:
-    """One stream's; ``gone`` is told of an endpoint that is to be given up.
+class StallCheck:
+    """Checks one stream's stalled runs.
 
-    ``may_repeat`` says whether the stream could be sent again.
+    ``on_lost`` is called with the id of an endpoint whose run is lost; ``may_repeat``
+    returns whether the retry budget allows the stream to be sent again.
     """
 
     clock: Clock
     reports: LoadReports
-    seen: LivedSilences
+    silences: LivedSilences
     pool: str
     run_id: str
-    gone: Callable[[str], None]
+    on_lost: Callable[[str], None]
     may_repeat: Callable[[], bool]
     _position: int = -1
-    _silences: int = 0
+    _stalls: int = 0
 
-    def counts(self, endpoint_ids: list[str], position: int) -> bool:
-        """Say whether the runs at these endpoints are lost by their silence.
+    def runs_lost(self, endpoint_ids: list[str], position: int) -> bool:
+        """Return True if the stalled runs at these endpoints are lost right now.
 
-        ``position`` is the number of the stream's last event.
+        Otherwise requests the endpoints' reports; ``on_lost`` may follow. ``position``
+        is the stream's position in events: a change starts the count again.
         """
-        if not endpoint_ids or not self.seen.lately(self.pool, self.clock.now_ms()):
+        if not endpoint_ids or not self.silences.recently_alive(
+            self.pool, self.clock.now_ms()
+        ):
             return True
         if position != self._position:
-            self._position, self._silences = position, 0
-        self._silences += 1
-        if self._silences >= _MOST_SILENCES and self.may_repeat():
+            self._position, self._stalls = position, 0
+        self._stalls += 1
+        if self._stalls >= _MAX_STALLS and self.may_repeat():
             return True
-        for each in endpoint_ids:
-            self._ask(each)
+        for endpoint_id in endpoint_ids:
+            self._request_report(endpoint_id)
         return False
 
-    def given_up(self, endpoint_id: str) -> None:
-        """A run was given up as silent: learn whether its endpoint lives."""
-        if self.seen.lately(self.pool, self.clock.now_ms()):
+    def run_abandoned(self, endpoint_id: str) -> None:
+        """Find out whether the endpoint of a run abandoned as stalled is alive."""
+        if self.silences.recently_alive(self.pool, self.clock.now_ms()):
             return
 
-        def reported(report: EndpointReport | None) -> None:
+        def report_received(report: EndpointReport | None) -> None:
             if report is not None:
-                self.seen.lived(self.pool, self.clock.now_ms())
+                self.silences.record_alive(self.pool, self.clock.now_ms())
 
-        self.reports.ask(endpoint_id, reported)
+        self.reports.request_report(endpoint_id, report_received)
 
-    def _ask(self, endpoint_id: str) -> None:
-        asked_at = self._position
+    def _request_report(self, endpoint_id: str) -> None:
+        requested_position = self._position
 
-        def reported(report: EndpointReport | None) -> None:
-            if self._position != asked_at:
+        def report_received(report: EndpointReport | None) -> None:
+            if self._position != requested_position:
                 return
             if report is None or self.run_id not in report.runs:
-                self.gone(endpoint_id)
+                self.on_lost(endpoint_id)
             else:
-                self.seen.lived(self.pool, self.clock.now_ms())
+                self.silences.record_alive(self.pool, self.clock.now_ms())
 
-        self.reports.ask(endpoint_id, reported)
+        self.reports.request_report(endpoint_id, report_received)
--- a/src/coursekeel/gateway/streams/_stream_task.py
+++ b/src/coursekeel/gateway/streams/_stream_task.py
@@ -1,11 +1,11 @@
-"""The task of one answer that is a stream of numbered events.
+"""The task of one streamed answer, a sequence of numbered events.
 
-An `AnswerCore` decides, as it does for generations on the product's own engines: here
-a piece is an event, a copy of a run's memory is kept by an endpoint of another
-availability zone, and a lost run goes on from it.
+An `AnswerCore` decides, as for generations in `entry`. Here the unit is an event, and
+an endpoint of another availability zone keeps a copy of a run's memory, from which a
+lost run continues.
 
-Owns the runs that are open. Relies on `StreamPlacement` for where they go, and on
-`StreamReply` for what the caller gets.
+Owns the open runs. Relies on `StreamPlacement` to choose endpoints, and on
+`StreamReply` for the reply to the caller.
 """
 
 import math
@@ -45,7 +45,7 @@
 from coursekeel.gateway._request import AdmittedRequest
 from coursekeel.gateway._retry_budgets import SendAccount
 from coursekeel.gateway.admission._refusals import (
-    ELSEWHERE_RETRY_MS,
+    OTHER_INSTANCE_RETRY_MS,
     STOPS_ENDPOINTS,
     STREAM_RETRY_MS,
     refusal_after_loss,
@@ -54,7 +54,7 @@
 )
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 from coursekeel.gateway.streams._placement import StreamPlacement
-from coursekeel.gateway.streams._silence_doubt import SilenceDoubt
+from coursekeel.gateway.streams._silence_doubt import StallCheck
 from coursekeel.gateway.streams._stream_attempt import AttemptOwner, StreamAttempt
 from coursekeel.gateway.streams._stream_reply import StreamReply
 from coursekeel.gateway.streams._successors import Successors
@@ -64,14 +64,14 @@
 
 __all__ = ["StreamTask"]
 
-# An alarm this late tells of a pause of this process. Less than `silence_ms`, so that a
-# pause isn't taken for the silence of every endpoint at once.
+# An alarm this late means that this process was paused. Less than `silence_ms`, so that
+# a pause isn't taken for a stall of every endpoint at once.
 _OWN_PAUSE_MS = 100.0
 
 
 @define(eq=False)
 class StreamTask(AttemptOwner, AnswerShell):
-    """Drives one stream from its request to its last event."""
+    """Drives one stream from the admitted request to the end of the reply."""
 
     context: GatewayContext
     reports: LoadReports
@@ -81,20 +81,20 @@
     core: AnswerCore[EventLedger] = field(init=False)
     _driver: AnswerDriver = field(init=False)
     _placement: StreamPlacement = field(init=False)
-    _caller: StreamReply = field(init=False)
-    _sends: SendAccount = field(init=False)
-    _pass: QuarantinePass = field(init=False)
-    _doubt: SilenceDoubt = field(init=False)
-    _open: dict[int, StreamAttempt] = field(factory=dict)
-    _refused: str = ""
+    _stream_reply: StreamReply = field(init=False)
+    _send_account: SendAccount = field(init=False)
+    _quarantine_pass: QuarantinePass = field(init=False)
+    _stall_check: StallCheck = field(init=False)
+    _open_attempts: dict[int, StreamAttempt] = field(factory=dict)
+    _refusal_code: str = ""
     _retry_after_ms: float = STREAM_RETRY_MS
 
     def __attrs_post_init__(self) -> None:
         context, call = self.context, self.call
         self._placement = StreamPlacement(context, self.reports, call)
-        self._caller = StreamReply(context, call, self.reply)
-        self._sends = SendAccount(context.budgets.of(call.pool))
-        self._pass = QuarantinePass(context.quarantine, call)
+        self._stream_reply = StreamReply(context, call, self.reply)
+        self._send_account = SendAccount(context.budgets.of(call.pool))
+        self._quarantine_pass = QuarantinePass(context.quarantine, call)
         self.core = AnswerCore(
             call.caller.request_id,
             Expected(call.pool, "", ""),
@@ -107,30 +107,35 @@
             context.reactor,
             context.clock,
             _OWN_PAUSE_MS,
-            silence_counts=self._silence_counts,
+            silence_counts=self._stalled_runs_lost,
         )
-        self._doubt = SilenceDoubt(
+        self._stall_check = StallCheck(
             context.clock,
             self.reports,
             context.lived,
             call.pool,
             call.caller.request_id,
             lambda endpoint_id: self.tell(EndpointSilent(endpoint_id)),
-            lambda: not self._sends.budget.is_spent(context.clock.now_ms()),
+            lambda: not self._send_account.budget.is_spent(context.clock.now_ms()),
         )
 
-    def _silence_counts(self) -> bool:
-        """Say whether a run that is silent is lost by that."""
+    def _stalled_runs_lost(self) -> bool:
+        """Return whether the stalled runs are lost now; called by the driver."""
         if self.context.endpoints.link.full:
             return False
-        begun = [each.endpoint_id for each in self._open.values() if each.has_begun]
-        return self._doubt.counts(begun, self.core.ledger.next_position)
+        endpoint_ids = [
+            attempt.endpoint_id
+            for attempt in self._open_attempts.values()
+            if attempt.has_started
+        ]
+        return self._stall_check.runs_lost(endpoint_ids, self.core.ledger.next_position)
 
     def _policy(self) -> AnswerPolicy:
-        """A stream that may not be resumed runs once, however long it is silent.
+        """Return the core's limits for this request.
 
-        Before its first event a run is watched by its endpoint's report
-        (`StreamAttempt`), not by a time. Two runs never race: that is work done twice.
+        A stream that is not resumable runs once, without a stall limit. Instead of a
+        time limit for the first token there is `FirstEventWatch`. Runs never race,
+        which would double the work.
         """
         call, timers = self.call, self.context.settings.timers
         resumable = call.route.kind is RouteKind.RESUMABLE
@@ -141,29 +146,29 @@
             silence_ms=timers.silence_ms if resumable else math.inf,
             races=False,
             deaths_before_stop=max(call.route.tries, 1) if resumable else 1,
-            # Which requests stop endpoints the quarantine decides.
+            # The quarantine decides which requests crash endpoints.
             sound_after_ms=0,
             own_stream_tries=0,
             retry_after_ms=int(STREAM_RETRY_MS),
         )
 
     def start(self) -> None:
-        """Begin; the reply comes by itself."""
+        """Start the first search; the task sends the reply itself."""
         self.reply.on_gone(self._caller_left)
-        self._sends.budget.requested(self.context.clock.now_ms())
+        self._send_account.budget.requested(self.context.clock.now_ms())
         self.tell(Started())
 
     def tell(self, event: Event) -> None:
-        """Take an event; what comes while one is being taken waits its turn."""
+        """Pass an event to the core; one that arrives meanwhile is queued."""
         self._driver.tell(event)
 
     def event_taken(self, event: Event, actions: list[Action]) -> None:
-        """Give back a place that is granted when a copy has taken the run up."""
-        if isinstance(event, Granted) and not _opens(actions):
-            self._placement.give_back(event.endpoint_id)
+        """Release a granted slot if the run continues from a copy instead."""
+        if isinstance(event, Granted) and not _opens_attempt(actions):
+            self._placement.release_grant(event.endpoint_id)
 
     def carry_out(self, action: Action, now_ms: float) -> None:
-        """Do what the core asks for."""
+        """Carry out one action of the core."""
         match action:
             case SeekEndpoint():
                 self._search(action)
@@ -172,7 +177,7 @@
             case CancelAttempt():
                 self._cancel(action.attempt)
             case Deliver():
-                self._caller.deliver(self.core.ledger.take())
+                self._stream_reply.deliver(self.core.ledger.take())
             case Complete():
                 self._complete()
             case Interrupt():
@@ -183,16 +188,16 @@
     # Searching.
 
     def _search(self, action: SeekEndpoint) -> None:
-        if self._refused:
+        if self._refusal_code:
             self._refuse()
         else:
-            self._placement.search(action, self._decided)
+            self._placement.search(action, self._placement_decided)
 
-    def _decided(self, decision: Decision) -> None:
+    def _placement_decided(self, decision: Decision) -> None:
         if isinstance(decision, Grant):
             self.tell(Granted(decision.endpoint_id))
             return
-        self._refused = decision.code
+        self._refusal_code = decision.code
         left_ms = self.call.due_ms - self.context.clock.now_ms()
         self._retry_after_ms = refusal_retry_ms(
             decision.code, decision.retry_after_ms, left_ms, self.context.random
@@ -200,10 +205,10 @@
         self._refuse()
 
     def _refuse(self) -> None:
-        """There is nothing for the request, and its caller hears so at once."""
+        """Refuse the request: no endpoint, or no send allowed."""
         run = self.core.run_state
-        self._caller.give_up(
-            refusal_without_endpoint(run, self._refused, self._retry_after_ms)
+        self._stream_reply.refuse_or_cut(
+            refusal_without_endpoint(run, self._refusal_code, self._retry_after_ms)
         )
         self.tell(Cancelled())
 
@@ -215,35 +220,35 @@
             self._send(action, record)
             return
         if action.way is not Way.COPY:
-            # A copy's place wasn't granted: it is taken when the run is sent there.
-            self._placement.give_back(action.endpoint_id)
+            # A copy's slot wasn't granted; it is counted when the run is sent there.
+            self._placement.release_grant(action.endpoint_id)
         self.tell(AttemptEnded(action.attempt, Loss.NOT_SENT))
 
     @property
-    def _begun(self) -> bool:
-        """Say whether this request has given its caller an event."""
-        asked_from = self.call.caller.resume_after or 0
-        return self.core.ledger.next_position > asked_from
+    def _has_new_events(self) -> bool:
+        """Whether the core has received an event beyond those that the caller has."""
+        first_position = self.call.caller.resume_after or 0
+        return self.core.ledger.next_position > first_position
 
     def _may_send(self) -> bool:
-        """Say whether a run may be sent now; if not, the next search is refused."""
-        if self._refused:
+        """Return whether a run may be sent now; if not, the next search is refused."""
+        if self._refusal_code:
             return False
-        if not self.context.site.may_still_send(self.call, self._begun):
-            self._refused = "belief_old"
-        elif not self._pass.may_send():
-            self._refused = STOPS_ENDPOINTS
-            self._retry_after_ms = self._pass.barred_ms
+        if not self.context.site.may_still_send(self.call, self._has_new_events):
+            self._refusal_code = "belief_old"
+        elif not self._quarantine_pass.may_send():
+            self._refusal_code = STOPS_ENDPOINTS
+            self._retry_after_ms = self._quarantine_pass.barred_ms
             return False
-        elif not self._sends.may_send(self.context.clock.now_ms()):
-            self._refused = "retry_budget"
+        elif not self._send_account.may_send(self.context.clock.now_ms()):
+            self._refusal_code = "retry_budget"
         else:
             return True
-        self._retry_after_ms = ELSEWHERE_RETRY_MS
+        self._retry_after_ms = OTHER_INSTANCE_RETRY_MS
         return False
 
     def may_still_send(self, endpoint: EndpointRecord) -> bool:
-        """Say whether a run may be sent there, now that its connection stands."""
+        """Return whether a run may still be sent, once its connection is open."""
         context = self.context
         record = context.site.directory.record(endpoint.endpoint_id)
         if record is None or record.leaving:
@@ -252,11 +257,11 @@
             return False
         if not context.versions.may_have(record):
             return False
-        may_act = context.site.may_still_send(self.call, self._begun)
-        return may_act and self._pass.may_send()
+        may_act = context.site.may_still_send(self.call, self._has_new_events)
+        return may_act and self._quarantine_pass.may_send()
 
     def _send(self, action: OpenAttempt, record: EndpointRecord) -> None:
-        context, ways = self.context, self._caller.ways
+        context, ways = self.context, self._stream_reply.ways
         now_ms = context.clock.now_ms()
         ways.append(action.way.value)
         if action.way is Way.COPY:
@@ -270,17 +275,17 @@
             action.endpoint_id,
             action.way.value,
             context.routing.router.load(action.endpoint_id),
-            self._placement.asked,
+            self._placement.reports_requested,
             copy_to,
             context.versions.named(action.endpoint_id),
         )
         attempt = StreamAttempt(
             self, action.attempt, action.endpoint_id, action.way is Way.COPY, now_ms
         )
-        self._open[action.attempt] = attempt
-        attempt.open(self._outbound(action, record, copy_to, now_ms))
+        self._open_attempts[action.attempt] = attempt
+        attempt.open(self._outbound_request(action, record, copy_to, now_ms))
 
-    def _outbound(
+    def _outbound_request(
         self, action: OpenAttempt, record: EndpointRecord, copy_to: str, now_ms: float
     ) -> OutboundRequest:
         call, position = self.call, self.core.ledger.next_position
@@ -294,55 +299,58 @@
             copy_to=copy_to,
             copy_from=record.address if from_copy else "",
             copied_run=call.caller.request_id if from_copy else "",
-            urgent=len(self._caller.ways) > 1,
+            urgent=len(self._stream_reply.ways) > 1,
         )
 
     def _cancel(self, number: int) -> None:
-        attempt = self._open.pop(number, None)
+        attempt = self._open_attempts.pop(number, None)
         if attempt is None:
             return
-        if not self.core.ended and not self._caller.waits_for_recovery:
-            self.lost(attempt.lost_run("silent"))
-            self._doubt.given_up(attempt.endpoint_id)
+        if not self.core.ended and not self._stream_reply.is_recovering:
+            self.run_lost(attempt.loss_record("silent"))
+            self._stall_check.run_abandoned(attempt.endpoint_id)
         attempt.close()
 
     def is_open(self, number: int) -> bool:
-        """Say whether the attempt is still one of the answer's."""
-        return number in self._open
+        """Return whether the attempt still belongs to the stream."""
+        return number in self._open_attempts
 
     def not_sent(self) -> None:
-        """A run that was sent reached no endpoint."""
-        self._sends.not_sent()
+        """Return the budget of a send that reached no endpoint."""
+        self._send_account.not_sent()
 
-    def attempt_over(self, number: int) -> None:
-        """The attempt's connection ended by itself."""
-        self._open.pop(number, None)
+    def attempt_ended(self, number: int) -> None:
+        """Remove an attempt whose connection has ended."""
+        self._open_attempts.pop(number, None)
 
-    def opened(self, attempt: int, head: ExchangeHead) -> None:
-        """An endpoint answered with a stream of this request."""
-        self._caller.opened(head)
+    def stream_opened(self, attempt: int, head: ExchangeHead) -> None:
+        """Open the reply, and report the head to the core."""
+        self._stream_reply.stream_opened(head)
         label = self.core.attempts[attempt].label
         position = self.core.attempts[attempt].from_position
-        # What a head proves was judged by the dialect; the core's own checks of model
-        # and label are for engines that echo them.
+        # The dialect has checked the head; the core's checks of model and label are for
+        # engines that echo them.
         checked = StreamHead(label, label, self.call.pool, "", "", "", position)
         self.tell(HeadArrived(attempt, checked))
 
-    def answered_otherwise(self, head: ExchangeHead, body: bytes) -> None:
-        """An endpoint gave a final answer that isn't a stream."""
-        self._caller.answered_otherwise(head, body)
+    def final_response_received(self, head: ExchangeHead, body: bytes) -> None:
+        """Pass on a final response that is not a stream, and end the task."""
+        self._stream_reply.final_response_received(head, body)
         self.context.quarantine.proved_sound(self.call)
         self.tell(Cancelled())
 
-    def lost(self, lost: LostRun) -> None:
-        """An attempt was lost before the answer was whole."""
-        self._caller.lost(lost, self.core.ledger.next_position)
-        self._placement.lost(lost.endpoint_id)
-        self._tell_versions(lost)
+    def run_lost(self, lost: LostRun) -> None:
+        """Report a lost run to the reply, placement, rollouts and the crash watch."""
+        self._stream_reply.run_lost(lost, self.core.ledger.next_position)
+        self._placement.run_lost(lost.endpoint_id)
+        self._record_version_outcome(lost)
         self.context.crashes.run_lost(self.call, lost)
 
-    def _tell_versions(self, lost: LostRun) -> None:
-        """A failure that the endpoint said is its own; others may share a cause."""
+    def _record_version_outcome(self, lost: LostRun) -> None:
+        """Report the loss to the rollouts.
+
+        A response is the version's own failure; other losses may have a common cause.
+        """
         versions = self.context.versions
         if lost.why.startswith("status_"):
             versions.ended(self.call, lost.endpoint_id, True, 0.0)
@@ -352,31 +360,31 @@
     # Ends.
 
     def _complete(self) -> None:
-        self._caller.complete()
+        self._stream_reply.log_completed()
         self.context.quarantine.proved_sound(self.call)
         if self.call.caller.resume_after is None:
             took_ms = self.context.clock.now_ms() - self.call.arrived_ms
-            self.context.lengths.ended(self.call.route.name, took_ms)
+            self.context.lengths.stream_finished(self.call.route.name, took_ms)
         self._stop_work()
-        self._caller.finish()
+        self._stream_reply.finish()
 
     def _interrupt(self, action: Interrupt) -> None:
         code = "timeout" if action.code == "interrupted" else action.code
         self._stop_work()
         refusal = refusal_after_loss(action.run, code, self._retry_after_ms)
-        self._caller.give_up(refusal)
+        self._stream_reply.refuse_or_cut(refusal)
 
     def _caller_left(self) -> None:
         if not self.core.ended:
-            self._caller.caller_left()
+            self._stream_reply.caller_left()
             self.tell(Cancelled())
 
     def _stop_work(self) -> None:
         self._placement.stop()
-        for number in list(self._open):
+        for number in list(self._open_attempts):
             self._cancel(number)
         self._driver.stop_alarm()
 
 
-def _opens(actions: list[Action]) -> bool:
-    return any(isinstance(each, OpenAttempt) for each in actions)
+def _opens_attempt(actions: list[Action]) -> bool:
+    return any(isinstance(action, OpenAttempt) for action in actions)
--- a/src/coursekeel/gateway/whole/_whole_try.py
+++ b/src/coursekeel/gateway/whole/_whole_try.py
@@ -1,6 +1,6 @@
-"""One send of a request to one endpoint, whose whole answer is read.
+"""One send of a request to one endpoint, which reads the complete answer.
 
-Owns the exchange and the limit on it. Tells its owner once how it ended.
+Owns the exchange and its time limit. Reports the outcome to its owner once.
 """
 
 from abc import ABC, abstractmethod
@@ -19,32 +19,32 @@
 
 
 class TryOwner(ABC):
-    """The request that a try belongs to."""
+    """The task that a try belongs to."""
 
     @abstractmethod
     def may_still_send(self, endpoint_id: str) -> bool:
-        """Say whether the request may be sent there now."""
+        """Return whether the request may be sent to the endpoint now."""
 
     @abstractmethod
     def try_ended(self, outcome: ServiceReply | SendOutcome) -> None:
-        """The try came to its end."""
+        """Handle the outcome of the try: a reply, or why there is none."""
 
 
 @define(eq=False)
 class WholeTry(ExchangeSink):
-    """One send to one endpoint; it gives its place back when it ends.
+    """One send to one endpoint; it releases its slot in routing when it ends.
 
-    ``arrived`` is False once it is sure that nothing reached an endpoint.
+    ``may_have_arrived`` is False once it is certain that no endpoint got the request.
     """
 
     owner: TryOwner
     context: GatewayContext
     call: AdmittedRequest
     endpoint_id: str
-    arrived: bool = True
+    may_have_arrived: bool = True
     _started_ms: float = field(init=False)
     _exchange: Exchange | None = None
-    _limit: Any = None
+    _limit_timer: Any = None
     _head: ExchangeHead | None = None
     _body: list[bytes] = field(factory=list)
 
@@ -52,10 +52,12 @@
         self._started_ms = self.context.clock.now_ms()
 
     def open(self, outbound: OutboundRequest, limit_ms: float | None) -> None:
-        """Send; after ``limit_ms`` without a whole answer the try is given up."""
+        """Send the request; abort after ``limit_ms`` without a complete answer."""
         context = self.context
         if limit_ms is not None:
-            self._limit = context.reactor.callLater(limit_ms / 1000, self._too_long)
+            self._limit_timer = context.reactor.callLater(
+                limit_ms / 1000, self._limit_reached
+            )
         self._exchange = context.endpoints.send(self.call, outbound, self)
 
     def may_send(self) -> bool:
@@ -68,13 +70,13 @@
         self._body.append(data)
 
     def ended(self, ending: Ending, reason: str) -> None:
-        self._stop_limit()
+        self._cancel_limit_timer()
         outcome = self._outcome(ending, reason)
         failed = not isinstance(outcome, ServiceReply) or outcome.failed
         self._log(outcome)
-        self._tell_versions(outcome)
+        self._record_version_outcome(outcome)
         if ending in (Ending.CUT, Ending.NO_ANSWER):
-            self._tell_lost(reason)
+            self._report_run_lost(reason)
         if not failed:
             router = self.context.routing.router
             router.succeeded(self.endpoint_id, self.call.route.name)
@@ -85,21 +87,21 @@
         self.owner.try_ended(outcome)
 
     def abandon(self) -> None:
-        """Nobody waits for the answer any more."""
-        self._stop_limit()
+        """Abort without an outcome: the caller left, or the deadline has passed."""
+        self._cancel_limit_timer()
         if self._exchange is not None:
             self._exchange.abort()
         self._release(failed=False)
 
     def _outcome(self, ending: Ending, reason: str) -> ServiceReply | SendOutcome:
-        """What the end proves of the request; in doubt, that it may have run."""
+        """Return the reply or the outcome; in doubt, that the request may have run."""
         context = self.context
         if ending is Ending.WITHHELD:
-            self.arrived = False
+            self.may_have_arrived = False
             return SendOutcome.NOT_SENT
         if ending is Ending.NOT_SENT:
             context.health.unreachable(self.endpoint_id, reason)
-            self.arrived = False
+            self.may_have_arrived = False
             return SendOutcome.NOT_SENT
         if self._head is None:
             return SendOutcome.MAYBE_SENT
@@ -128,8 +130,8 @@
             return
         self.context.metrics.try_ended(self.call, self.endpoint_id, result)
 
-    def _tell_versions(self, outcome: ServiceReply | SendOutcome) -> None:
-        """What an endpoint turned away says nothing of its version."""
+    def _record_version_outcome(self, outcome: ServiceReply | SendOutcome) -> None:
+        """Report the outcome to the rollouts; a rejected request doesn't count."""
         versions = self.context.versions
         if isinstance(outcome, ServiceReply):
             took_ms = self.context.clock.now_ms() - self._started_ms
@@ -137,15 +139,15 @@
         elif outcome is SendOutcome.MAYBE_SENT:
             versions.lost(self.call, self.endpoint_id)
 
-    def _tell_lost(self, reason: str) -> None:
+    def _report_run_lost(self, reason: str) -> None:
         ran_ms = None
         if self._head is not None:
             ran_ms = self.context.clock.now_ms() - self._started_ms
         lost = LostRun(self.endpoint_id, reason, ran_ms)
         self.context.crashes.run_lost(self.call, lost)
 
-    def _too_long(self) -> None:
-        self._limit = None
+    def _limit_reached(self) -> None:
+        self._limit_timer = None
         assert self._exchange is not None
         self._exchange.abort()
         self._release(failed=True)
@@ -157,7 +159,7 @@
         run_ms = self.context.clock.now_ms() - self._started_ms
         self.context.routing.released(self.endpoint_id, run_ms, failed)
 
-    def _stop_limit(self) -> None:
-        if self._limit is not None:
-            self._limit.cancel()
-            self._limit = None
+    def _cancel_limit_timer(self) -> None:
+        if self._limit_timer is not None:
+            self._limit_timer.cancel()
+            self._limit_timer = None
--- a/tests/cover/test_silence_doubt.py
+++ b/tests/cover/test_silence_doubt.py
@@ -1,105 +1,109 @@
-"""A run that fell silent is given up soon, unless its engines are seen to be busy."""
+"""A stalled run is lost soon, unless its pool's endpoints were found to be busy."""
 
 from unittest.mock import Mock
 
 from coursekeel.gateway._adapters import EndpointReport
 from coursekeel.gateway.endpoints._lived_silences import LivedSilences
-from coursekeel.gateway.streams._silence_doubt import SilenceDoubt
+from coursekeel.gateway.streams._silence_doubt import StallCheck
 
-NAMED = EndpointReport(3, 0, runs=frozenset({"r1"}))
-OTHERS = EndpointReport(3, 0, runs=frozenset({"r2"}))
+LISTED = EndpointReport(3, 0, runs=frozenset({"r1"}))
+NOT_LISTED = EndpointReport(3, 0, runs=frozenset({"r2"}))
 
 
-class Doubted:
-    """One stream; the test answers what its endpoints are asked."""
+class StalledStream:
+    """One stream whose runs stall; the test answers the report requests."""
 
-    def __init__(self, seen: LivedSilences | None = None) -> None:
+    def __init__(self, silences: LivedSilences | None = None) -> None:
         self.now_ms = 0.0
-        self.asked: list = []
-        self.gone: list[str] = []
-        self.repeats = True
-        self.seen = seen or LivedSilences()
-        reports = Mock(ask=lambda each, told: self.asked.append((each, told)))
-        self.doubt = SilenceDoubt(
+        self.report_requests: list = []
+        self.lost_at: list[str] = []
+        self.may_repeat = True
+        self.silences = silences or LivedSilences()
+        reports = Mock(
+            request_report=lambda endpoint_id, on_report: self.report_requests.append(
+                (endpoint_id, on_report)
+            )
+        )
+        self.check = StallCheck(
             Mock(now_ms=lambda: self.now_ms),
             reports,
-            self.seen,
+            self.silences,
             "p",
             "r1",
-            self.gone.append,
-            lambda: self.repeats,
+            self.lost_at.append,
+            lambda: self.may_repeat,
         )
 
-    def silent(self, position: int = 7) -> bool:
+    def stall(self, position: int = 7) -> bool:
         self.now_ms += 280
-        return self.doubt.counts(["e1"], position)
+        return self.check.runs_lost(["e1"], position)
 
-    def answer(self, report: EndpointReport | None) -> None:
-        _, told = self.asked.pop()
-        told(report)
+    def answer_request(self, report: EndpointReport | None) -> None:
+        _, on_report = self.report_requests.pop()
+        on_report(report)
 
 
-def busy() -> Doubted:
-    seen = LivedSilences()
-    seen.lived("p", 0.0)
-    return Doubted(seen)
+def busy_stream() -> StalledStream:
+    silences = LivedSilences()
+    silences.record_alive("p", 0.0)
+    return StalledStream(silences)
 
 
-def test_silence_counts_where_no_endpoint_was_seen_to_live_through_it():
-    stream = Doubted()
-    assert stream.silent()
-    assert stream.asked == []
+def test_a_stall_is_a_loss_without_a_recent_live_endpoint():
+    stream = StalledStream()
+    assert stream.stall()
+    assert stream.report_requests == []
 
 
-def test_after_a_loss_the_endpoint_is_asked_and_a_live_one_is_remembered():
-    stream = Doubted()
-    stream.doubt.given_up("e1")
-    stream.answer(None)
-    assert stream.silent(), "it is gone: others are given up as soon"
-    stream.doubt.given_up("e1")
-    stream.answer(OTHERS)
-    assert not stream.silent()
+def test_a_live_endpoint_after_a_loss_is_remembered():
+    stream = StalledStream()
+    stream.check.run_abandoned("e1")
+    stream.answer_request(None)
+    assert stream.stall(), "no live endpoint was found, so that the stall is a loss"
+    stream.check.run_abandoned("e1")
+    stream.answer_request(NOT_LISTED)
+    assert not stream.stall()
     stream.now_ms += 30_000
-    assert stream.silent(), "forgotten"
+    assert stream.stall(), "the report has expired"
 
 
-def test_a_run_that_a_busy_endpoint_names_is_waited_for():
-    stream = busy()
+def test_a_run_listed_by_a_busy_endpoint_gets_more_time():
+    stream = busy_stream()
     for _ in range(3):
-        assert not stream.silent()
-        stream.answer(NAMED)
-    assert stream.gone == []
-    assert stream.silent(), "for no longer than a caller bears"
+        assert not stream.stall()
+        stream.answer_request(LISTED)
+    assert stream.lost_at == []
+    assert stream.stall(), "the limit of stalls is reached"
 
 
-def test_an_event_begins_the_count_anew():
-    stream = busy()
+def test_an_event_resets_the_stall_count():
+    stream = busy_stream()
     for position in range(20):
-        assert not stream.silent(position)
-        stream.answer(NAMED)
+        assert not stream.stall(position)
+        stream.answer_request(LISTED)
 
 
-def test_an_endpoint_that_gives_no_report_or_does_not_name_the_run_is_given_up():
-    for report in (None, OTHERS):
-        stream = busy()
-        assert not stream.silent()
-        stream.answer(report)
-        assert stream.gone == ["e1"]
+def test_a_run_that_no_report_lists_is_lost():
+    for report in (None, NOT_LISTED):
+        stream = busy_stream()
+        assert not stream.stall()
+        stream.answer_request(report)
+        assert stream.lost_at == ["e1"]
 
 
-def test_a_report_that_comes_after_the_next_event_says_nothing():
-    stream = busy()
-    assert not stream.silent(position=7)
-    assert not stream.silent(position=8)
-    _, told = stream.asked[0]
-    told(None)
-    assert stream.gone == []
+def test_a_report_after_the_next_event_is_ignored():
+    stream = busy_stream()
+    assert not stream.stall(position=7)
+    assert not stream.stall(position=8)
+    _, on_report = stream.report_requests[0]
+    on_report(None)
+    assert stream.lost_at == []
 
 
-def test_without_a_repeat_a_run_that_is_named_is_never_given_up():
-    stream = busy()
-    stream.repeats = False
+def test_a_listed_run_is_kept_while_no_retry_is_left():
+    stream = busy_stream()
+    stream.may_repeat = False
     for _ in range(20):
-        assert not stream.silent()
-        stream.answer(NAMED)
-    assert stream.gone == []
+        assert not stream.stall()
+        stream.answer_request(LISTED)
+    assert stream.lost_at == []
