--- a/src/coursekeel/quarantine/__init__.py
+++ b/src/coursekeel/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the endpoints that run them: who knows, and which are barred."""
+"""Requests that crash the endpoints that run them: barring, records and gossip."""
 
 from coursekeel.quarantine._gossip import QuarantineGossip, QuarantineOutgoing
 from coursekeel.quarantine._messages import (
@@ -23,7 +23,7 @@
     QuarantineEvent,
     Trial,
 )
-from coursekeel.quarantine._record import Sign, Strike, SuspectRecord, merged
+from coursekeel.quarantine._record import Sign, Strike, SuspectRecord, merge_records
 
 __all__ = [
     "MARK",
@@ -47,7 +47,7 @@
     "encode_kept",
     "encode_quarantine",
     "encode_told",
-    "merged",
+    "merge_records",
     "record_of",
     "told_of",
 ]
--- a/src/coursekeel/quarantine/_gossip.py
+++ b/src/coursekeel/quarantine/_gossip.py
@@ -1,13 +1,14 @@
-"""How members tell each other of suspect requests, and by when all know.
+"""Spreads the records of suspect requests among the members of a group.
 
-Rule: what a member learns by itself it tells all others at once, and each that learns
-something passes it on to a few by lot, so that a lost datagram costs nothing. Every
-message of SWIM's carries a digest; whoever hears another one than its own offers what
-it knows to the sender, and sends it once the sender asks (`AddressTokens`). So one that
-was cut off, frozen or has just begun has everything a ping or two after it is back.
+Rule: a member sends its own updates to all others at once, and each member that learns
+something new from one forwards it to a few others at random, so that a lost datagram is
+made up for. Each SWIM message carries a digest of its sender's records. A member that
+receives a different digest offers its records, and sends all of them if the other asks
+for them with the offer's token (`AddressTokens`). A member that was partitioned, paused
+or restarted is therefore in sync after a ping or two.
 
-Owns when each member was sent everything. A core: each moment is given, in ms, and
-messages are values.
+Owns the times at which all records were sent to each member. All times are in ms.
+Does no I/O: messages are returned to the caller, which sends them.
 """
 
 import math
@@ -30,19 +31,17 @@
 
 __all__ = ["QuarantineGossip", "QuarantineOutgoing"]
 
-# Whom each that learns something tells. With three of n, word that reached half of all
-# members misses one of the others with odds of e^-1.5, and the next round e^-3.
-_FANOUT = 3
-# A member is sent everything at most once in so long: two that hear of each other by
-# several pings at once need it once.
-_SENT_LATELY_MS = 300.0
-# No datagram bears more records than this: one with one endpoint has 110 bytes.
-_MOST_RECORDS = 12
+# Members to which news is forwarded. With three, news that half of all members have
+# misses any other one with a probability of e^-1.5, and after the next round e^-3.
+_FORWARD_FANOUT = 3
+# Several pings from one member may arrive before it has answered the first offer.
+_MIN_FULL_SEND_INTERVAL_MS = 300.0
+_MAX_RECORDS_PER_DATAGRAM = 12
 
 
 @frozen
 class QuarantineOutgoing:
-    """A message and where it goes."""
+    """A message to be sent to an address."""
 
     address: str
     message: QuarantineMessage
@@ -50,9 +49,10 @@
 
 @define(eq=False)
 class QuarantineGossip:
-    """One member's words; ``others`` gives the addresses of those that may serve.
+    """One member's gossip of suspect requests.
 
-    One that stops serves on for some seconds, so it must be heard and told as before.
+    ``own`` is its address; ``others`` returns the addresses of all other members that
+    may serve, those that are leaving included: they still send requests.
     """
 
     own: str
@@ -61,7 +61,7 @@
     random: Random
     others: Callable[[], list[str]]
     _tokens: AddressTokens = field(init=False)
-    _sent_ms: dict[str, float] = field(factory=dict)
+    _full_send_ms: dict[str, float] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         secret = self.random.randbytes(AddressTokens.SECRET_BYTES)
@@ -70,12 +70,12 @@
     def learned(
         self, records: list[SuspectRecord], now_ms: float
     ) -> list[QuarantineOutgoing]:
-        """This member learned something by itself: all others are told at once."""
-        told = [told_of(each, now_ms) for each in records]
-        return list(self._tell(self.others(), told))
+        """Send records that this member itself changed to all others."""
+        sent_records = [told_of(record, now_ms) for record in records]
+        return list(self._send(self.others(), sent_records))
 
     def heard_digest(self, sender: str, digest: str) -> list[QuarantineOutgoing]:
-        """A member's message told what it knows; an empty digest tells nothing."""
+        """Offer the records to a sender whose digest differs and isn't empty."""
         if not digest or digest == self.quarantine.digest:
             return []
         offer = self._message(
@@ -86,77 +86,86 @@
     def received(
         self, message: QuarantineMessage, now_ms: float
     ) -> list[QuarantineOutgoing]:
-        """Take a message of this group from the address that it names."""
+        """Handle a message of this group; ``message.sender`` may be forged."""
         match message.kind:
             case QuarantineKind.OFFER if message.digest != self.quarantine.digest:
-                return [self._take(message)]
-            case QuarantineKind.TAKE if self._is_answer(message):
-                return self._everything(message, now_ms)
-            case QuarantineKind.NEWS if self._is_believed(message):
-                return self._news(message, now_ms)
+                return [self._request_records(message)]
+            case QuarantineKind.TAKE if self._has_own_token(message):
+                return self._send_all(message, now_ms)
+            case QuarantineKind.NEWS if self._is_trusted(message):
+                return self._merge_news(message, now_ms)
             case _:
                 return []
 
-    def _is_answer(self, message: QuarantineMessage) -> bool:
-        """Say whether the sender gets what is sent to the address that it names."""
+    def _has_own_token(self, message: QuarantineMessage) -> bool:
+        """Say whether the sender received a message at the address that it gives."""
         return message.token == self._tokens.of(message.sender)
 
-    def _is_believed(self, message: QuarantineMessage) -> bool:
-        """A stranger's word counts for nothing.
+    def _is_trusted(self, message: QuarantineMessage) -> bool:
+        """News of unknown senders is ignored, unless it answers this member's request.
 
-        After a cut a member that was lost is asked before it counts as one again, which
-        takes some pings more.
+        After a partition the sender may not be a member again for some more pings.
         """
-        return self._is_answer(message) or message.sender in self.others()
+        return self._has_own_token(message) or message.sender in self.others()
 
-    def _take(self, offer: QuarantineMessage) -> QuarantineOutgoing:
+    def _request_records(self, offer: QuarantineMessage) -> QuarantineOutgoing:
         own_token = self._tokens.of(offer.sender)
-        take = self._message(QuarantineKind.TAKE, offer.answer_token, own_token)
-        return QuarantineOutgoing(offer.sender, take)
+        request = self._message(QuarantineKind.TAKE, offer.answer_token, own_token)
+        return QuarantineOutgoing(offer.sender, request)
 
-    def _everything(
-        self, take: QuarantineMessage, now_ms: float
+    def _send_all(
+        self, request: QuarantineMessage, now_ms: float
     ) -> list[QuarantineOutgoing]:
-        asker = take.sender
-        if now_ms - self._sent_ms.get(asker, -math.inf) < _SENT_LATELY_MS:
+        receiver = request.sender
+        if (
+            now_ms - self._full_send_ms.get(receiver, -math.inf)
+            < _MIN_FULL_SEND_INTERVAL_MS
+        ):
             return []
-        there = {*self.others(), asker}
-        self._sent_ms = {a: at for a, at in self._sent_ms.items() if a in there}
-        self._sent_ms[asker] = now_ms
-        told = [told_of(each, now_ms) for each in self.quarantine.known(now_ms)]
-        return list(self._tell([asker], told, take.answer_token))
-
-    def _news(
+        current = {*self.others(), receiver}
+        self._full_send_ms = {
+            address: sent_ms
+            for address, sent_ms in self._full_send_ms.items()
+            if address in current
+        }
+        self._full_send_ms[receiver] = now_ms
+        records = [told_of(record, now_ms) for record in self.quarantine.known(now_ms)]
+        return list(self._send([receiver], records, request.answer_token))
+
+    def _merge_news(
         self, message: QuarantineMessage, now_ms: float
     ) -> list[QuarantineOutgoing]:
+        """Merge the records, and forward those that changed something here."""
         merge = self.quarantine.merge
-        told = [
-            each for each in message.records if merge(record_of(each, now_ms), now_ms)
+        changed = [
+            record
+            for record in message.records
+            if merge(record_of(record, now_ms), now_ms)
         ]
-        others = [each for each in self.others() if each != message.sender]
-        some = self.random.sample(others, min(_FANOUT, len(others)))
-        return list(self._tell(some, told))
+        others = [address for address in self.others() if address != message.sender]
+        receivers = self.random.sample(others, min(_FORWARD_FANOUT, len(others)))
+        return list(self._send(receivers, changed))
 
-    def _tell(
-        self, addresses: Iterable[str], told: list[ToldRecord], token: int = 0
+    def _send(
+        self, addresses: Iterable[str], records: list[ToldRecord], token: int = 0
     ) -> Iterator[QuarantineOutgoing]:
-        messages = list(self._messages(told, token))
+        messages = list(self._news_messages(records, token))
         for address in addresses:
             for message in messages:
                 yield QuarantineOutgoing(address, message)
 
-    def _messages(
-        self, told: list[ToldRecord], token: int
+    def _news_messages(
+        self, records: list[ToldRecord], token: int
     ) -> Iterator[QuarantineMessage]:
-        """As many records to a datagram as it bears, and at least one."""
+        """Put as many records into each datagram as fit, and at least one."""
         news = self._message(QuarantineKind.NEWS, token)
-        at = 0
-        while at < len(told):
-            some = told[at : at + _MOST_RECORDS]
-            while len(some) > 1 and _bytes_of(news, some) > MAX_MESSAGE_BYTES:
-                some = some[:-1]
-            yield evolve(news, records=tuple(some))
-            at += len(some)
+        start = 0
+        while start < len(records):
+            batch = records[start : start + _MAX_RECORDS_PER_DATAGRAM]
+            while len(batch) > 1 and _size_bytes(news, batch) > MAX_MESSAGE_BYTES:
+                batch = batch[:-1]
+            yield evolve(news, records=tuple(batch))
+            start += len(batch)
 
     def _message(
         self, kind: QuarantineKind, token: int = 0, answer_token: int = 0
@@ -167,5 +176,5 @@
         )
 
 
-def _bytes_of(news: QuarantineMessage, records: list[ToldRecord]) -> int:
+def _size_bytes(news: QuarantineMessage, records: list[ToldRecord]) -> int:
     return len(encode_quarantine(evolve(news, records=tuple(records))))
--- a/src/coursekeel/quarantine/_messages.py
+++ b/src/coursekeel/quarantine/_messages.py
@@ -1,8 +1,9 @@
-"""What members of a group tell each other of suspect requests, and how it is written.
+"""Messages and stored rows of suspect requests: their encoding and decoding.
 
-Owns the datagrams' form: a letter that tells them from SWIM's, then JSON, bounded in
-size, each field checked where it is decoded. Moments travel as ages, since clocks
-differ. Relies on `coursekeel.strict` and orjson; knows nothing of sockets.
+Owns the format of the datagrams: a one-letter prefix that SWIM messages don't have,
+then JSON of bounded size, whose fields are checked when it is decoded. Times are sent
+as ages in ms, since clocks differ. Relies on `coursekeel.strict` and orjson; does no
+I/O.
 """
 
 from enum import Enum
@@ -13,7 +14,12 @@
 from attrs import field, frozen
 
 from coursekeel.group import MAX_MESSAGE_BYTES
-from coursekeel.quarantine._record import MAX_NAME, Sign, Strike, SuspectRecord
+from coursekeel.quarantine._record import (
+    MAX_NAME_CHARACTERS,
+    Sign,
+    Strike,
+    SuspectRecord,
+)
 from coursekeel.strict import faults_of, message_converter
 
 __all__ = [
@@ -32,18 +38,18 @@
     "told_of",
 ]
 
-# No JSON object begins with it.
+# SWIM messages are JSON objects, so none begins with this letter.
 MARK = b"Q"
-# Enough of a fault for a log line.
 _MAX_FAULT_CHARACTERS = 200
 
 
 class QuarantineKind(Enum):
-    """What a message is for.
+    """The steps by which two members with different digests exchange records.
 
-    ``OFFER``: the sender knows something else; whoever wants it answers ``TAKE`` with
-    the offer's token, which shows that it gets what is sent to it, and is sent ``NEWS``
-    with its own token, which shows the same.
+    ``OFFER``: the sender has other records. ``TAKE``: the answer, which asks for all of
+    them. ``NEWS``: records, sent on request or because they changed. An answer returns
+    the token of the message that it answers, which shows that its sender receives what
+    is sent to its address.
     """
 
     OFFER = "offer"
@@ -53,7 +59,7 @@
 
 @frozen
 class ToldStrike:
-    """An endpoint that ended under a request, ``age_ms`` ago."""
+    """A `Strike` as it is sent; it is from ``age_ms`` ago."""
 
     endpoint: str
     sign: Sign
@@ -62,7 +68,10 @@
 
 @frozen
 class ToldRecord:
-    """A record, with ages in the place of moments; None if it never changed."""
+    """A `SuspectRecord` as it is sent, with ages instead of times.
+
+    ``changed_age_ms`` is None while epoch and trials are 0.
+    """
 
     fingerprint: str
     epoch: int
@@ -75,9 +84,9 @@
 
 @frozen
 class QuarantineMessage:
-    """One datagram. ``digest`` is of all that the sender knows.
+    """One datagram; ``digest`` is that of all of the sender's records.
 
-    ``answer_token`` is the one that an answer must bring, as its ``token``.
+    An answer returns this message's ``answer_token`` as its own ``token``.
     """
 
     group: str
@@ -91,86 +100,88 @@
 
 @frozen
 class UnreadableQuarantine:
-    """A datagram that is no message; ``fault`` names the field and what was wrong."""
+    """Data that can't be decoded; ``fault`` names the field and the problem."""
 
     fault: str
 
 
 @frozen
 class KeptSuspect:
-    """A record as it is stored; ``stored_ms`` is the store's clock when it was."""
+    """A record as it is stored, at ``stored_ms`` by the store's clock."""
 
     record: ToldRecord
     stored_ms: float = field(metadata={"key": "stored_ms"})
 
 
-_ReadT = TypeVar("_ReadT")
+_DecodedT = TypeVar("_DecodedT")
 _CONVERTER = message_converter(ToldStrike, ToldRecord, QuarantineMessage, KeptSuspect)
 
 
 def told_of(record: SuspectRecord, now_ms: float) -> ToldRecord:
-    """A record as it is told now."""
+    """Convert a record to the form in which it is sent or stored now."""
     strikes = tuple(
-        ToldStrike(each.endpoint_id, each.sign, _age_ms(each.at_ms, now_ms))
-        for each in record.strikes
+        ToldStrike(strike.endpoint_id, strike.sign, _age_ms(strike.at_ms, now_ms))
+        for strike in record.strikes
     )
     changed = record.epoch or record.trials
     age_ms = _age_ms(record.changed_ms, now_ms) if changed else None
     return ToldRecord(record.fingerprint, record.epoch, record.trials, strikes, age_ms)
 
 
-def _age_ms(moment_ms: float, now_ms: float) -> float:
-    return max(0.0, round(now_ms - moment_ms, 1))
+def _age_ms(time_ms: float, now_ms: float) -> float:
+    return max(0.0, round(now_ms - time_ms, 1))
 
 
-def record_of(told: ToldRecord, now_ms: float) -> SuspectRecord:
-    """A record that was told just now."""
-    record = SuspectRecord(told.fingerprint, told.epoch, told.trials)
-    if told.changed_age_ms is not None:
-        changed_ms = now_ms - max(0.0, told.changed_age_ms)
+def record_of(sent: ToldRecord, now_ms: float) -> SuspectRecord:
+    """Convert a record that was received now from the form in which it was sent."""
+    record = SuspectRecord(sent.fingerprint, sent.epoch, sent.trials)
+    if sent.changed_age_ms is not None:
+        changed_ms = now_ms - max(0.0, sent.changed_age_ms)
         record = attrs.evolve(record, changed_ms=changed_ms)
-    for each in told.strikes:
-        at_ms = now_ms - max(0.0, each.age_ms)
-        record = record.struck(Strike(each.endpoint, each.sign, at_ms))
+    for strike in sent.strikes:
+        at_ms = now_ms - max(0.0, strike.age_ms)
+        record = record.struck(Strike(strike.endpoint, strike.sign, at_ms))
     return record
 
 
 def encode_kept(kept: KeptSuspect) -> bytes:
-    """The stored form of a record."""
+    """Encode a record for the store."""
     return orjson.dumps(attrs.asdict(kept, value_serializer=_plain))
 
 
 def decode_kept(data: bytes) -> KeptSuspect | UnreadableQuarantine:
-    """Read a stored record."""
-    kept = _read(data, KeptSuspect, whole="row")
+    """Decode a stored record."""
+    kept = _decode(data, KeptSuspect, whole="row")
     if isinstance(kept, UnreadableQuarantine):
         return kept
-    return _checked(kept, (kept.record,))
+    return _validated(kept, (kept.record,))
 
 
-def encode_told(told: ToldRecord) -> bytes:
-    """A record alone, for members that are told over connections."""
-    return orjson.dumps(attrs.asdict(told, value_serializer=_plain))
+def encode_told(sent: ToldRecord) -> bytes:
+    """Encode a single record, for members that are connected by gRPC."""
+    return orjson.dumps(attrs.asdict(sent, value_serializer=_plain))
 
 
 def decode_told(data: bytes) -> ToldRecord | UnreadableQuarantine:
-    """Read a record that came alone."""
-    told = _read(data, ToldRecord, whole="record")
-    if isinstance(told, UnreadableQuarantine):
-        return told
-    return _checked(told, (told,))
+    """Decode a single record."""
+    sent = _decode(data, ToldRecord, whole="record")
+    if isinstance(sent, UnreadableQuarantine):
+        return sent
+    return _validated(sent, (sent,))
 
 
-def _read(data: bytes, kind: type[_ReadT], whole: str) -> _ReadT | UnreadableQuarantine:
+def _decode(
+    data: bytes, kind: type[_DecodedT], whole: str
+) -> _DecodedT | UnreadableQuarantine:
     try:
         return _CONVERTER.structure(orjson.loads(data), kind)
-    except Exception as failure:  # whatever a store or a peer holds is a value here
+    except Exception as failure:  # invalid data from the store or a peer must not raise
         faults = "; ".join(faults_of(failure, whole=whole))
         return UnreadableQuarantine(faults[:_MAX_FAULT_CHARACTERS])
 
 
 def encode_quarantine(message: QuarantineMessage) -> bytes:
-    """The datagram of a message."""
+    """Encode a message as a datagram."""
     return MARK + orjson.dumps(attrs.asdict(message, value_serializer=_plain))
 
 
@@ -179,30 +190,37 @@
 
 
 def decode_quarantine(data: bytes) -> QuarantineMessage | UnreadableQuarantine:
-    """Read a datagram that begins with `MARK`."""
+    """Decode a datagram that begins with `MARK`."""
     if len(data) > MAX_MESSAGE_BYTES:
         return UnreadableQuarantine(
             f"got {len(data)} bytes, expected at most {MAX_MESSAGE_BYTES}"
         )
-    message = _read(data.removeprefix(MARK), QuarantineMessage, whole="message")
+    message = _decode(data.removeprefix(MARK), QuarantineMessage, whole="message")
     if isinstance(message, UnreadableQuarantine):
         return message
-    return _checked(message, message.records)
+    return _validated(message, message.records)
 
 
-def _checked(
-    read: _ReadT, records: tuple[ToldRecord, ...]
-) -> _ReadT | UnreadableQuarantine:
-    """What was read, if each of its records can be used."""
-    fault = next((f for f in map(_fault_of, records) if f), "")
-    return UnreadableQuarantine(fault) if fault else read
+def _validated(
+    decoded: _DecodedT, records: tuple[ToldRecord, ...]
+) -> _DecodedT | UnreadableQuarantine:
+    """Return ``decoded`` if each of its records is valid."""
+    fault = next((f for f in map(_record_fault, records) if f), "")
+    return UnreadableQuarantine(fault) if fault else decoded
 
 
-def _fault_of(told: ToldRecord) -> str:
-    names = [told.fingerprint, *(each.endpoint for each in told.strikes)]
+def _record_fault(record: ToldRecord) -> str:
+    """What is wrong with a received record; empty if it is valid."""
+    names = [record.fingerprint, *(strike.endpoint for strike in record.strikes)]
     longest = max(map(len, names))
-    if longest > MAX_NAME or not all(names):
-        return f"records: got a name of {longest}, expected 1 to {MAX_NAME} characters"
-    if min(told.epoch, told.trials) < 0:
-        return f"records: got {told.epoch} and {told.trials}, expected none below 0"
+    if longest > MAX_NAME_CHARACTERS or not all(names):
+        return (
+            f"records: got a name of {longest}, expected 1 to "
+            f"{MAX_NAME_CHARACTERS} characters"
+        )
+    if min(record.epoch, record.trials) < 0:
+        return (
+            f"records: got epoch {record.epoch} and {record.trials} trials, "
+            "expected none below 0"
+        )
     return ""
--- a/src/coursekeel/quarantine/_quarantine.py
+++ b/src/coursekeel/quarantine/_quarantine.py
@@ -1,19 +1,18 @@
-"""Quarantine: may a request be sent, under which endpoints have ended?
-
-Rule: a request is barred once three endpoints ended under it. Of the requests that an
-endpoint had when it ended only the likeliest count: those that had begun there and
-given nothing, if there are any; else those that had just begun to give; else all
-(`Sign`). Endpoints that ended at the same moment count as one, since no request ends a
-whole availability zone at once. Whatever is answered, or gave for longer than a moment,
-is proved sound and begins anew.
-
-A barred request gets back: when its bar is over one instance may let it run once, and
-bars it for ten times as long before it does, so that neither its own end nor a lost
-message lets another try. So a request that does end its servers has three more in a
-day, and one that was barred wrongly is back after two minutes.
-
-Owns the records, which are bounded in number and forgotten in time. A core: each moment
-is given, in ms of this process's clock.
+"""Decides which requests are barred, by the endpoints that crashed while running them.
+
+Rule: three strikes bar a request. Of the requests that an endpoint had when it crashed,
+only those with the strongest `Sign` get a strike that counts. Crashes within a few ms
+count as one, since no request crashes a whole availability zone at once. A request that
+is answered, or that produced output for a while, is cleared: its record starts again at
+the next epoch.
+
+When a bar is over, one instance may let the request run once, as a trial. It first bars
+the request for ten times as long at all members, so that neither a crash of its own nor
+a lost message permits a second trial. A request that always crashes endpoints gets
+three trials in the first day; one that was barred wrongly runs again after two minutes.
+
+Owns the records, which are bounded in number and expire. Times are in ms of this
+process's clock. Does no I/O.
 """
 
 import math
@@ -23,37 +22,31 @@
 import xxhash
 from attrs import define, evolve, field, frozen
 
-from coursekeel.quarantine._record import Sign, Strike, SuspectRecord, merged
+from coursekeel.quarantine._record import Sign, Strike, SuspectRecord, merge_records
 
 __all__ = ["Barred", "Quarantine", "QuarantineEvent", "Trial"]
 
-# The users' bound counts from the third endpoint that a request ended.
-_STRIKES = 3
-# Ends that lie closer together than this have one cause. A request that ended one
-# endpoint needs at least 55 ms to end the next (58 ends of a recorded day), and the
-# resets of one moment are seen within a few ms, or tens on a busy instance.
-_TOGETHER_MS = 30.0
-# The first bar, and how much longer each next one is: trials after 2 and 22 minutes,
-# 3.7 and 37 hours, three in a day, as many as the users allow.
-_BAR_MS = 120_000.0
-_LONGER = 10  # see above
-# Longer bars than this are none of a request's that still exists: 14 days.
-_MOST_TRIALS = 4
-# A record of which nothing more was heard is kept for a day after its bar.
-_FORGOTTEN_MS = 86_400_000.0
-# Requests that are remembered; beyond that the least suspect go first, of these the
-# oldest by the hour, and then by their fingerprints: members whose clocks differ by
-# some ms must keep the same ones, or they would send each other the rest for ever. 512
-# are 65 datagrams (`bench.quarantine`).
+# A request may crash two endpoints before it is barred.
+_STRIKES_TO_BAR = 3
+# Strikes that follow each other within this time have one cause: the resets of one
+# failure are seen within tens of ms, and a request that is sent again takes longer.
+_SAME_CAUSE_MS = 30.0
+# Each trial multiplies the bar: trials are after 2 and 22 minutes, 3.7 and 37 hours.
+_FIRST_BAR_MS = 120_000.0
+_BAR_GROWTH = 10
+# The bar grows no further after this many trials: 14 days.
+_MAX_GROWTH_TRIALS = 4
+# How long after the end of its bar an unchanged record is kept.
+_RETENTION_MS = 86_400_000.0
 _MAX_RECORDS = 512
-_HOUR_MS = 3_600_000.0  # see above
+_HOUR_MS = 3_600_000.0
 
 
 @frozen
 class Barred:
-    """The request may not be sent for ``left_ms``."""
+    """The request may not be sent for another ``remaining_ms``."""
 
-    left_ms: float
+    remaining_ms: float
 
 
 @frozen
@@ -63,7 +56,7 @@
 
 @frozen
 class QuarantineEvent:
-    """Something for the log: a request was barred, or is no longer."""
+    """A request was barred or cleared; for the log and the store."""
 
     fingerprint: str
     barred: bool
@@ -72,7 +65,10 @@
 
 @define(eq=False)
 class Quarantine:
-    """What this instance knows of requests under which endpoints ended."""
+    """This instance's records of suspect requests.
+
+    The owner reads and clears ``events``.
+    """
 
     events: list[QuarantineEvent] = field(factory=list)
     _records: dict[str, SuspectRecord] = field(factory=dict)
@@ -84,170 +80,187 @@
 
     @property
     def barred(self) -> int:
-        """How many requests are barred, those included whose bar is over."""
+        """The number of barred requests, those that await a trial included."""
         return len(self._barred)
 
     def barred_fingerprints(self) -> list[str]:
-        """The requests that are barred, those included whose bar is over."""
+        """The barred requests, those that await a trial included."""
         return list(self._barred)
 
     def record(self, fingerprint: str) -> SuspectRecord | None:
-        """What is known of a request."""
+        """The record of a request; None if it isn't suspect."""
         return self._records.get(fingerprint)
 
-    # May it be sent?
+    # Verdicts.
 
     def is_barred(self, fingerprint: str) -> bool:
-        """Say whether a request is barred, or was and its bar is over."""
+        """Say whether a request is barred or awaits a trial."""
         return fingerprint in self._barred
 
     def verdict(self, fingerprint: str, now_ms: float) -> Barred | Trial | None:
-        """Say whether a request may be sent; None if nothing speaks against it."""
+        """Say whether a request may be sent; None if it may, without a trial."""
         if fingerprint not in self._barred:
             return None
-        left_ms = _bar_end_ms(self._records[fingerprint]) - now_ms
-        return Barred(left_ms) if left_ms > 0 else Trial()
+        remaining_ms = _bar_end_ms(self._records[fingerprint]) - now_ms
+        return Barred(remaining_ms) if remaining_ms > 0 else Trial()
 
     def begin_trial(self, fingerprint: str, now_ms: float) -> SuspectRecord:
-        """Let a request run once; for all others it is barred from now on."""
+        """Begin a trial of a barred request, which bars it for all others.
+
+        The returned record must be sent to all members.
+        """
         record = self._records[fingerprint]
-        tried = evolve(record, trials=record.trials + 1, changed_ms=now_ms)
-        self._put(tried, now_ms)
-        return tried
+        trial_record = evolve(record, trials=record.trials + 1, changed_ms=now_ms)
+        self._replace(trial_record, now_ms)
+        return trial_record
 
-    def trial_stands(self, tried: SuspectRecord) -> bool:
-        """Say whether nothing was learned since a trial began."""
-        record = self._records.get(tried.fingerprint)
-        return record is not None and record.content == tried.content
+    def is_trial_valid(self, trial_record: SuspectRecord) -> bool:
+        """Say whether the record is unchanged since `begin_trial` returned it."""
+        record = self._records.get(trial_record.fingerprint)
+        return record is not None and record.content == trial_record.content
 
-    # What is learned.
+    # Updates.
 
     def strike(
         self, fingerprint: str, endpoint_id: str, sign: Sign, now_ms: float
     ) -> SuspectRecord | None:
-        """An endpoint ended while it had the request; None if that was known."""
+        """Record that an endpoint crashed while it had the request.
+
+        Returns the new record, or None if nothing changed.
+        """
         record = self._records.get(fingerprint) or SuspectRecord(fingerprint)
         struck = record.struck(Strike.of(endpoint_id, sign, now_ms))
-        return struck if self._take(struck, now_ms) else None
+        return struck if self._update(struck, now_ms) else None
 
     def proved_sound(self, fingerprint: str, now_ms: float) -> SuspectRecord | None:
-        """The request ran and its endpoint lives; None if it wasn't suspect."""
+        """Clear a request that ran without crashing its endpoint.
+
+        Returns the new record, or None if the request wasn't suspect.
+        """
         record = self._records.get(fingerprint)
         if record is None or not (record.strikes or record.trials):
             return None
-        sound = SuspectRecord(fingerprint, record.epoch + 1, changed_ms=now_ms)
-        self._put(sound, now_ms)
-        return sound
+        cleared = SuspectRecord(fingerprint, record.epoch + 1, changed_ms=now_ms)
+        self._replace(cleared, now_ms)
+        return cleared
 
-    def merge(self, told: SuspectRecord, now_ms: float) -> bool:
-        """Take what another member knows; False if it is nothing new."""
-        if now_ms >= _forgotten_ms(told):
+    def merge(self, received: SuspectRecord, now_ms: float) -> bool:
+        """Merge a record from another member or the store; False if nothing changed."""
+        if now_ms >= _expires_ms(received):
             return False
-        record = self._records.get(told.fingerprint)
-        both = told if record is None else merged(record, told)
-        return self._take(both, now_ms)
+        record = self._records.get(received.fingerprint)
+        merged = received if record is None else merge_records(record, received)
+        return self._update(merged, now_ms)
 
     def forget(self, now_ms: float) -> None:
-        """Drop what is too old to matter."""
-        old = [f for f, each in self._records.items() if now_ms >= _forgotten_ms(each)]
-        for each in old:
-            self._drop(each)
-        if old:
-            self._judge()
+        """Remove expired records."""
+        expired = [f for f, r in self._records.items() if now_ms >= _expires_ms(r)]
+        for fingerprint in expired:
+            self._remove(fingerprint)
+        if expired:
+            self._update_barred()
 
-    # What is told.
+    # For synchronization with other members.
 
     @property
     def digest(self) -> str:
-        """The same at all members that know the same."""
+        """A digest of all records' content, equal at members that hold the same."""
         return f"{self._digest:016x}"
 
     def known(self, now_ms: float) -> list[SuspectRecord]:
         """All records, the most suspect first."""
-        heaviest = partial(self._weight, now_ms=now_ms)
-        return sorted(self._records.values(), key=heaviest, reverse=True)
+        weight = partial(self._weight, now_ms=now_ms)
+        return sorted(self._records.values(), key=weight, reverse=True)
 
     # Bookkeeping.
 
-    def _take(self, record: SuspectRecord, now_ms: float) -> bool:
+    def _update(self, record: SuspectRecord, now_ms: float) -> bool:
+        """Store a record; False if only its times differ or there is no room for it."""
         known = self._records.get(record.fingerprint)
         if known is not None and known.content == record.content:
-            # Not news; but of the same word the older counts.
+            # The merge may have moved a time back.
             self._records[record.fingerprint] = record
             return False
-        self._put(record, now_ms)
+        self._replace(record, now_ms)
         return record.fingerprint in self._records
 
-    def _put(self, record: SuspectRecord, now_ms: float) -> None:
+    def _replace(self, record: SuspectRecord, now_ms: float) -> None:
         if record.fingerprint in self._records:
-            self._drop(record.fingerprint)
+            self._remove(record.fingerprint)
         self._records[record.fingerprint] = record
         self._digest ^= _hash_of(record)
         if len(self._records) > _MAX_RECORDS:
-            lightest = partial(self._weight, now_ms=now_ms)
-            self._drop(min(self._records.values(), key=lightest).fingerprint)
-        self._judge()
+            weight = partial(self._weight, now_ms=now_ms)
+            self._remove(min(self._records.values(), key=weight).fingerprint)
+        self._update_barred()
 
-    def _drop(self, fingerprint: str) -> None:
+    def _remove(self, fingerprint: str) -> None:
         self._digest ^= _hash_of(self._records.pop(fingerprint))
 
     def _weight(
         self, record: SuspectRecord, now_ms: float
     ) -> tuple[bool, int, float, str]:
+        """The order of eviction, lightest first.
+
+        Ages are in whole hours and ties go by fingerprint, so that members whose clocks
+        differ slightly keep the same records.
+        """
         barred = record.fingerprint in self._barred
-        hours = (now_ms - record.last_ms) // _HOUR_MS
+        hours = (now_ms - record.last_change_ms) // _HOUR_MS
         return (barred, len(record.strikes), -hours, record.fingerprint)
 
-    def _judge(self) -> None:
-        """Find who is barred now, and tell of who wasn't or was before."""
-        before, self._barred = self._barred, frozenset(self._guilty())
-        for each in sorted(before ^ self._barred):
-            record = self._records.get(each, SuspectRecord(each))
-            struck = tuple(strike.endpoint_id for strike in record.strikes)
-            barred = each in self._barred
-            self.events.append(QuarantineEvent(each, barred, struck))
-
-    def _guilty(self) -> Iterable[str]:
-        suspects = [r for r in self._records.values() if len(r.strikes) >= _STRIKES]
+    def _update_barred(self) -> None:
+        """Find the barred requests again, and add an event for each change."""
+        before, self._barred = self._barred, frozenset(self._find_barred())
+        for fingerprint in sorted(before ^ self._barred):
+            record = self._records.get(fingerprint, SuspectRecord(fingerprint))
+            endpoint_ids = tuple(strike.endpoint_id for strike in record.strikes)
+            barred = fingerprint in self._barred
+            self.events.append(QuarantineEvent(fingerprint, barred, endpoint_ids))
+
+    def _find_barred(self) -> Iterable[str]:
+        suspects = [
+            r for r in self._records.values() if len(r.strikes) >= _STRIKES_TO_BAR
+        ]
         if not suspects:
             return
-        likeliest = self._likeliest()
-        for each in suspects:
-            if _ends(each, likeliest) >= _STRIKES:
-                yield each.fingerprint
-
-    def _likeliest(self) -> dict[str, int]:
-        """By endpoint, the strongest sign that any request has there."""
-        found: dict[str, int] = {}
+        strongest_signs = self._strongest_signs()
+        for record in suspects:
+            if _count_crashes(record, strongest_signs) >= _STRIKES_TO_BAR:
+                yield record.fingerprint
+
+    def _strongest_signs(self) -> dict[str, int]:
+        """By endpoint, the strongest sign of any request there."""
+        signs: dict[str, int] = {}
         for record in self._records.values():
-            for each in record.strikes:
-                known = found.get(each.endpoint_id, 0)
-                found[each.endpoint_id] = max(known, each.sign.value)
-        return found
+            for strike in record.strikes:
+                known = signs.get(strike.endpoint_id, 0)
+                signs[strike.endpoint_id] = max(known, strike.sign.value)
+        return signs
 
 
 def _hash_of(record: SuspectRecord) -> int:
     return xxhash.xxh64_intdigest(repr(record.content).encode())
 
 
-def _ends(record: SuspectRecord, likeliest: dict[str, int]) -> int:
-    """How many endpoints the request ended, as far as can be told."""
-    moments = sorted(
-        each.at_ms
-        for each in record.strikes
-        if each.sign.value == likeliest[each.endpoint_id]
+def _count_crashes(record: SuspectRecord, strongest_signs: dict[str, int]) -> int:
+    """How many separate crashes the request may have caused."""
+    times_ms = sorted(
+        strike.at_ms
+        for strike in record.strikes
+        if strike.sign.value == strongest_signs[strike.endpoint_id]
     )
     count, last_ms = 0, -math.inf
-    for each in moments:
-        count += each - last_ms > _TOGETHER_MS
-        last_ms = each
+    for at_ms in times_ms:
+        count += at_ms - last_ms > _SAME_CAUSE_MS
+        last_ms = at_ms
     return count
 
 
 def _bar_end_ms(record: SuspectRecord) -> float:
-    longer = float(_LONGER ** min(record.trials, _MOST_TRIALS))
-    return record.last_ms + _BAR_MS * longer
+    growth = float(_BAR_GROWTH ** min(record.trials, _MAX_GROWTH_TRIALS))
+    return record.last_change_ms + _FIRST_BAR_MS * growth
 
 
-def _forgotten_ms(record: SuspectRecord) -> float:
-    return _bar_end_ms(record) + _FORGOTTEN_MS
+def _expires_ms(record: SuspectRecord) -> float:
+    return _bar_end_ms(record) + _RETENTION_MS
--- a/src/coursekeel/quarantine/_record.py
+++ b/src/coursekeel/quarantine/_record.py
@@ -1,9 +1,9 @@
-"""What is known of one request under which endpoints ended, as all members merge it.
+"""The record of one suspect request, and how two copies of it are merged.
 
-Owns the form of a record and its merge, which is the same in any order and however
-often it is done: the higher epoch counts alone, since a request that was proved sound
-begins anew; within one, endpoints are added up. A core: moments are of this process's
-clock, in ms.
+The merge is commutative, associative and idempotent, so members that received the same
+records agree in any order of delivery. The record with the higher epoch wins, since
+each epoch begins with a run that cleared the request; within one epoch strikes are
+united. Times are in ms of this process's clock. Does no I/O.
 """
 
 from enum import Enum
@@ -11,21 +11,21 @@
 import xxhash
 from attrs import evolve, field, frozen
 
-__all__ = ["MAX_NAME", "Sign", "Strike", "SuspectRecord", "merged"]
+__all__ = ["MAX_NAME_CHARACTERS", "Sign", "Strike", "SuspectRecord", "merge_records"]
 
-# Endpoints in one record. Three end it; more are those that ended at the same moment,
-# of which as many fit one datagram.
+# Three strikes bar a request; a zone that fails adds many at one time. A record with
+# this many still fits one datagram.
 _MAX_STRIKES = 12
-# Fingerprints have 24 characters; longer ids of endpoints are hashed. A datagram bears
-# a record with the most endpoints.
-MAX_NAME = 24
+# The length of a fingerprint; longer endpoint ids are hashed, so that a record with the
+# most strikes fits one datagram.
+MAX_NAME_CHARACTERS = 24
 
 
 class Sign(Enum):
-    """What was seen of a run at an endpoint that ended under it; the likeliest last.
+    """What a lost run had shown at its endpoint, from least to most suspicious.
 
-    ``UNSEEN``: nothing, so that it may not have begun. ``GAVE``: it had begun to give
-    its answer a moment ago. ``BEGAN``: it began, and gave nothing.
+    ``UNSEEN``: nothing, so that it may not have begun. ``GAVE``: output, but only since
+    shortly before. ``BEGAN``: it had begun and produced no output.
     """
 
     UNSEEN = 1
@@ -35,7 +35,7 @@
 
 @frozen
 class Strike:
-    """One endpoint that ended while it had the request; made by `of`."""
+    """One endpoint that crashed while it had the request; create it with `of`."""
 
     endpoint_id: str
     sign: Sign
@@ -43,21 +43,18 @@
 
     @classmethod
     def of(cls, endpoint_id: str, sign: Sign, at_ms: float) -> "Strike":
-        """A strike by an endpoint's id, however long a site makes its ids.
-
-        A long one is known here by its hash, or a record would fit no datagram.
-        """
-        if len(endpoint_id) > MAX_NAME:
+        """A strike whose endpoint id is hashed if it is too long for a datagram."""
+        if len(endpoint_id) > MAX_NAME_CHARACTERS:
             endpoint_id = xxhash.xxh64_hexdigest(endpoint_id.encode())
         return cls(endpoint_id, sign, at_ms)
 
 
 @frozen
 class SuspectRecord:
-    """One request, by its fingerprint.
+    """What is recorded of one request, by its fingerprint.
 
-    ``epoch`` is how often it was proved sound, ``trials`` how often it was let run
-    after it was barred, both at ``changed_ms`` last.
+    ``epoch`` counts how often it was cleared, ``trials`` how often it was let run in
+    this epoch after it was barred; ``changed_ms`` is when either last changed.
     """
 
     fingerprint: str
@@ -67,41 +64,49 @@
     strikes: tuple[Strike, ...] = field(default=())
 
     @property
-    def last_ms(self) -> float:
-        """When the last thing was learned of it."""
-        return max([self.changed_ms, *(each.at_ms for each in self.strikes)])
+    def last_change_ms(self) -> float:
+        """When the epoch, the trials or the strikes last changed."""
+        return max([self.changed_ms, *(strike.at_ms for strike in self.strikes)])
 
     @property
     def content(self) -> tuple[object, ...]:
-        """What two members must agree in; their clocks differ."""
-        struck = tuple((each.endpoint_id, each.sign.value) for each in self.strikes)
-        return (self.fingerprint, self.epoch, self.trials, struck)
+        """What members compare: all but the times, since their clocks differ."""
+        strikes = tuple((x.endpoint_id, x.sign.value) for x in self.strikes)
+        return (self.fingerprint, self.epoch, self.trials, strikes)
 
     def struck(self, strike: Strike) -> "SuspectRecord":
-        """The same with one endpoint more."""
-        return evolve(self, strikes=_union(self.strikes, (strike,)))
+        """A copy with one strike more."""
+        return evolve(self, strikes=_merge_strikes(self.strikes, (strike,)))
+
 
+def merge_records(one: SuspectRecord, other: SuspectRecord) -> SuspectRecord:
+    """Merge two records of one request.
 
-def merged(one: SuspectRecord, other: SuspectRecord) -> SuspectRecord:
-    """What both together know. Of the same word the older counts, or echoes that take
-    time on their way would make it ever younger."""
+    Of equal changes the earlier time counts: ages grow inaccurate on their way, and the
+    later one would move forward with each round of gossip.
+    """
     if one.epoch != other.epoch:
-        return max(one, other, key=lambda each: each.epoch)
-    newer, older = sorted((one, other), key=lambda each: -each.trials)
+        return max(one, other, key=lambda record: record.epoch)
+    newer, older = sorted((one, other), key=lambda record: -record.trials)
     changed_ms = newer.changed_ms
     if newer.trials == older.trials:
         changed_ms = min(newer.changed_ms, older.changed_ms)
     return evolve(
-        newer, changed_ms=changed_ms, strikes=_union(one.strikes, other.strikes)
+        newer,
+        changed_ms=changed_ms,
+        strikes=_merge_strikes(one.strikes, other.strikes),
     )
 
 
-def _union(one: tuple[Strike, ...], other: tuple[Strike, ...]) -> tuple[Strike, ...]:
-    found: dict[str, Strike] = {}
-    for each in (*one, *other):
-        known = found.get(each.endpoint_id, each)
-        sign = max(known.sign, each.sign, key=lambda sign: sign.value)
-        at_ms = min(known.at_ms, each.at_ms)
-        found[each.endpoint_id] = Strike(each.endpoint_id, sign, at_ms)
-    ordered = sorted(found.values(), key=lambda each: each.endpoint_id)
+def _merge_strikes(
+    one: tuple[Strike, ...], other: tuple[Strike, ...]
+) -> tuple[Strike, ...]:
+    """One strike for each endpoint: the strongest sign and the earliest time."""
+    by_endpoint: dict[str, Strike] = {}
+    for strike in (*one, *other):
+        known = by_endpoint.get(strike.endpoint_id, strike)
+        sign = max(known.sign, strike.sign, key=lambda sign: sign.value)
+        at_ms = min(known.at_ms, strike.at_ms)
+        by_endpoint[strike.endpoint_id] = Strike(strike.endpoint_id, sign, at_ms)
+    ordered = sorted(by_endpoint.values(), key=lambda strike: strike.endpoint_id)
     return tuple(ordered[:_MAX_STRIKES])
--- a/src/coursekeel/suspects/__init__.py
+++ b/src/coursekeel/suspects/__init__.py
@@ -1,4 +1,4 @@
-"""Suspect requests as a role meets them: who may be sent, and what is kept."""
+"""What entry and gateway share to check, record and store suspect requests."""
 
 from coursekeel.suspects._fingerprint import request_fingerprint
 from coursekeel.suspects._gate import AskedRequest, QuarantineGate, QuarantinePass
--- a/src/coursekeel/suspects/_gate.py
+++ b/src/coursekeel/suspects/_gate.py
@@ -1,12 +1,11 @@
-"""Bar: may a request be sent, under which endpoints have ended?
+"""Checks before each send whether a request is barred, and broadcasts changes.
 
-Rule: `coursekeel.quarantine` says which requests are barred; each send asks anew, since
-another member may have learned something since the last one. What this instance learns
-is told to all others at once. One that is let run on trial may be sent until something
-is learned of it.
+Rule: `coursekeel.quarantine` decides which requests are barred. It is consulted before
+every send, also of the same request, since another member may have sent an update
+meanwhile. A request that runs on trial may be sent until its record changes.
 
-Owns nothing but the trials of its own requests. Relies on `Quarantine` for what is
-known, and on ``tell`` for the others.
+Owns only the trials of this instance's requests. Relies on `Quarantine` for the
+records, and on ``broadcast`` to send changed ones to the other members.
 """
 
 from collections.abc import Callable, Iterable
@@ -31,61 +30,62 @@
 
     @property
     def fingerprint(self) -> str:
-        """The same for what the same team asks again, whatever its id and instance."""
+        """The same for equal requests of one team, whatever their ids and instances."""
 
 
 @define(eq=False)
 class QuarantineGate:
-    """Asks and tells of suspect requests.
+    """Checks requests against the quarantine and reports how their runs ended.
 
-    ``tell`` gives records to all members; ``touched`` is told before of each request
-    of which this instance learned something by itself.
+    ``broadcast`` sends records to all other members; before it, ``on_change`` is called
+    with the fingerprint of each request whose record changed here.
     """
 
     clock: Clock
     quarantine: Quarantine
-    tell: Callable[[list[SuspectRecord]], None]
-    touched: Callable[[str], None]
+    broadcast: Callable[[list[SuspectRecord]], None]
+    on_change: Callable[[str], None]
 
     def barred_ms(self, call: AskedRequest) -> float:
         """For how long a request may not be sent; 0 if it may be."""
         verdict = self._verdict(call)
-        return verdict.left_ms if isinstance(verdict, Barred) else 0.0
+        return verdict.remaining_ms if isinstance(verdict, Barred) else 0.0
 
     def begin_trial(self, call: AskedRequest) -> SuspectRecord | None:
-        """Let a request whose bar is over run once; None if it needs no trial."""
+        """Begin a trial of a request whose bar is over; None if it needs none."""
         if not isinstance(self._verdict(call), Trial):
             return None
         now_ms = self.clock.now_ms()
-        tried = self.quarantine.begin_trial(call.fingerprint, now_ms)
-        self._tell([tried])
-        return tried
+        trial_record = self.quarantine.begin_trial(call.fingerprint, now_ms)
+        self._publish([trial_record])
+        return trial_record
 
     def struck(self, endpoint_id: str, suspects: Iterable[Suspect]) -> None:
-        """An endpoint ended while it had these requests."""
-        found = [
+        """Record that an endpoint crashed while it had these requests."""
+        records = [
             self.quarantine.strike(
-                each.fingerprint, endpoint_id, each.sign, each.lost_ms
+                suspect.fingerprint, endpoint_id, suspect.sign, suspect.lost_ms
             )
-            for each in suspects
+            for suspect in suspects
         ]
-        self._tell(found)
+        self._publish(records)
 
     def proved_sound(self, call: AskedRequest) -> None:
-        """A request ran, and its endpoint lives."""
+        """Clear a request that ran without crashing its endpoint."""
         if len(self.quarantine):
             now_ms = self.clock.now_ms()
-            self._tell([self.quarantine.proved_sound(call.fingerprint, now_ms)])
+            self._publish([self.quarantine.proved_sound(call.fingerprint, now_ms)])
 
-    def _tell(self, found: list[SuspectRecord | None]) -> None:
-        learned = [each for each in found if each is not None]
-        for each in learned:
-            self.touched(each.fingerprint)
-        if learned:
-            self.tell(learned)
+    def _publish(self, records: list[SuspectRecord | None]) -> None:
+        """Report changed records; None stands for an update that changed nothing."""
+        changed = [record for record in records if record is not None]
+        for record in changed:
+            self.on_change(record.fingerprint)
+        if changed:
+            self.broadcast(changed)
 
     def _verdict(self, call: AskedRequest) -> Barred | Trial | None:
-        """Nothing is computed of a request while no request is barred."""
+        """The verdict; the fingerprint is computed only while a request is barred."""
         if not self.quarantine.barred:
             return None
         return self.quarantine.verdict(call.fingerprint, self.clock.now_ms())
@@ -93,22 +93,22 @@
 
 @define(eq=False)
 class QuarantinePass:
-    """One request's leave to be sent, which ends when something is learned of it."""
+    """One request's permission to be sent, checked again before each send."""
 
     gate: QuarantineGate
     call: AskedRequest
-    _trial: SuspectRecord | None = None
+    _trial_record: SuspectRecord | None = None
 
     def may_send(self) -> bool:
-        """Say whether the request may be sent now."""
-        if self._trial is not None:
-            return self.gate.quarantine.trial_stands(self._trial)
+        """Say whether the request may be sent now; begins a trial if it needs one."""
+        if self._trial_record is not None:
+            return self.gate.quarantine.is_trial_valid(self._trial_record)
         if self.gate.barred_ms(self.call):
             return False
-        self._trial = self.gate.begin_trial(self.call)
+        self._trial_record = self.gate.begin_trial(self.call)
         return True
 
     @property
     def barred_ms(self) -> float:
-        """For how long the request may not be sent."""
+        """For how long the request may not be sent; 0 if it may be."""
         return self.gate.barred_ms(self.call)
--- a/src/coursekeel/suspects/_keeper.py
+++ b/src/coursekeel/suspects/_keeper.py
@@ -1,13 +1,13 @@
-"""Keeps barred requests in the site's store, so that they outlast all instances.
+"""Stores barred requests, so that they stay barred when all instances restart.
 
-Rule: what bars a request is written by those that saw an endpoint end under it, and
-removed by whoever proves it sound; every instance reads the table once, when it starts.
-What the others know travels between them (`coursekeel.quarantine`): the table is for
-the moment at which nobody is left who could tell. Rows that a store forgot when it came
-back from an older copy are written again by those that saw an endpoint end, and by one
-of all members for each request, since those that saw it may be gone.
+Rule: the row of a barred request is written by each instance that recorded a strike for
+it, and removed by the one that clears it. Every instance reads the table once, when it
+starts; after that, updates come from the other members (`coursekeel.quarantine`). When
+the store was restored from an older copy, missing rows are written again by the
+instances that recorded strikes, and by one member chosen for each request, since those
+instances may be gone.
 
-Owns what is still to be written, at most one row a request. Relies on `SuspectTable`.
+Owns the pending writes, at most one row a request. Relies on `SuspectTable`.
 """
 
 from collections.abc import Callable
@@ -31,72 +31,76 @@
 
 __all__ = ["SuspectKeeper"]
 
-# The pause after a call that failed, and between two writes: what is learned at once is
-# written at once.
-_PAUSE_MS = 500.0
-# Rows in one call; the users' store takes a hundred.
-_MOST_ROWS = 50
-# Requests that are remembered as struck here, as many as `Quarantine` remembers.
-_MAX_OWN = 512
+# Between two calls, whether the first one failed or not.
+_CALL_INTERVAL_MS = 500.0
+# The platform's store accepts a hundred rows in one call.
+_MAX_ROWS_PER_CALL = 50
+# As many requests as `Quarantine` keeps records of.
+_MAX_CHANGED_HERE = 512
 
 
 @define(eq=False)
 class SuspectKeeper:
-    """Reads the table once, and writes what this instance has to."""
+    """Reads the table at the start, and writes this instance's changes to it."""
 
     reactor: Reactor
     clock: Clock
     table: SuspectTable
     quarantine: Quarantine
     timeout_ms: float
-    _own: dict[str, None] = field(factory=dict)
-    _due: dict[str, None] = field(factory=dict)
-    _store_ahead_ms: float | None = None
+    _changed_here: dict[str, None] = field(factory=dict)
+    _pending: dict[str, None] = field(factory=dict)
+    _store_clock_offset_ms: float | None = None
     _work: Periodic = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._work = Periodic(self.reactor, "suspects", _PAUSE_MS, self._do)
+        self._work = Periodic(
+            self.reactor, "suspects", _CALL_INTERVAL_MS, self._synchronize
+        )
 
     def start(self) -> None:
-        """Read what was known before this instance began."""
+        """Begin to read the table."""
         self._work.start()
 
     def stop(self) -> None:
-        """Call the store no more."""
+        """Make no more calls to the store."""
         self._work.stop()
 
     def store_restored(self, is_mine: Callable[[str], bool]) -> None:
-        """The table is that of an older copy; ``is_mine``: written again from here.
+        """Write rows again after the store was restored from an older copy.
 
-        The copy is read first: its rows and its clock may be of another time.
+        ``is_mine`` says whether this member is the one chosen for a fingerprint. The
+        table is read again first, for its rows and for its clock.
         """
-        self._store_ahead_ms = None
+        self._store_clock_offset_ms = None
         barred = self.quarantine.barred_fingerprints()
-        again = [each for each in barred if each in self._own or is_mine(each)]
-        log_event("suspects_written_again", rows=len(again))
-        self._due |= dict.fromkeys(again)
+        rewritten = [f for f in barred if f in self._changed_here or is_mine(f)]
+        log_event("suspects_written_again", rows=len(rewritten))
+        self._pending |= dict.fromkeys(rewritten)
         self._work.start()
 
     def touched(self, fingerprint: str) -> None:
-        """This instance learned something of a request by itself."""
-        self._own[fingerprint] = None
-        if len(self._own) > _MAX_OWN:
-            del self._own[next(iter(self._own))]
+        """Note that this instance itself changed a request's record."""
+        self._changed_here[fingerprint] = None
+        if len(self._changed_here) > _MAX_CHANGED_HERE:
+            del self._changed_here[next(iter(self._changed_here))]
         if self.quarantine.is_barred(fingerprint):
-            self._is_due(fingerprint)
+            self._schedule(fingerprint)
 
     def changed(self, event: QuarantineEvent) -> None:
-        """A request is barred, or no longer."""
-        if event.fingerprint in self._own:
-            self._is_due(event.fingerprint)
+        """Handle that a request was barred or cleared."""
+        if event.fingerprint in self._changed_here:
+            self._schedule(event.fingerprint)
 
-    def _is_due(self, fingerprint: str) -> None:
-        self._due[fingerprint] = None
+    def _schedule(self, fingerprint: str) -> None:
+        self._pending[fingerprint] = None
         self._work.start()
 
-    async def _do(self) -> None:
-        done = await (self._read() if self._store_ahead_ms is None else self._write())
-        if done and not self._due:
+    async def _synchronize(self) -> None:
+        done = await (
+            self._read() if self._store_clock_offset_ms is None else self._write()
+        )
+        if done and not self._pending:
             self._work.stop()
 
     async def _read(self) -> bool:
@@ -105,43 +109,43 @@
         if isinstance(rows, TableFailed):
             log_event("suspects_unread", reason=rows.reason)
             return False
-        self._store_ahead_ms = rows.store_ms - sent_ms
+        self._store_clock_offset_ms = rows.store_ms - sent_ms
         for fingerprint, value in rows.values.items():
-            self._take(fingerprint, value, sent_ms)
+            self._load_row(fingerprint, value, sent_ms)
         return True
 
-    def _take(self, fingerprint: str, value: bytes, now_ms: float) -> None:
-        """Take a row; what can't be read or is forgotten is removed."""
+    def _load_row(self, fingerprint: str, value: bytes, now_ms: float) -> None:
+        """Merge a row; one that is invalid or bars nothing is to be removed."""
         kept = decode_kept(value)
         if isinstance(kept, UnreadableQuarantine):
             log_event("suspect_unreadable", fingerprint=fingerprint, fault=kept.fault)
-            self._due[fingerprint] = None
+            self._pending[fingerprint] = None
             return
-        assert self._store_ahead_ms is not None
-        age_ms = max(0.0, now_ms + self._store_ahead_ms - kept.stored_ms)
+        assert self._store_clock_offset_ms is not None
+        age_ms = max(0.0, now_ms + self._store_clock_offset_ms - kept.stored_ms)
         self.quarantine.merge(record_of(kept.record, now_ms - age_ms), now_ms)
         if not self.quarantine.is_barred(fingerprint):
-            self._due[fingerprint] = None
+            self._pending[fingerprint] = None
 
     async def _write(self) -> bool:
         now_ms = self.clock.now_ms()
-        batch = list(self._due)[:_MOST_ROWS]
+        batch = list(self._pending)[:_MAX_ROWS_PER_CALL]
         if not batch:
             return True
-        for each in batch:
-            del self._due[each]
-        barred = [each for each in batch if self.quarantine.is_barred(each)]
-        kept = {each: self._value(each, now_ms) for each in barred}
-        gone = [each for each in batch if each not in kept]
-        failed = await self.table.write(kept, gone, self.timeout_ms)
+        for fingerprint in batch:
+            del self._pending[fingerprint]
+        barred = [f for f in batch if self.quarantine.is_barred(f)]
+        rows = {fingerprint: self._row(fingerprint, now_ms) for fingerprint in barred}
+        removed = [fingerprint for fingerprint in batch if fingerprint not in rows]
+        failed = await self.table.write(rows, removed, self.timeout_ms)
         if failed is None:
             return True
         log_event("suspects_unwritten", reason=failed.reason, rows=len(batch))
-        self._due = dict.fromkeys(batch) | self._due
+        self._pending = dict.fromkeys(batch) | self._pending
         return False
 
-    def _value(self, fingerprint: str, now_ms: float) -> bytes:
+    def _row(self, fingerprint: str, now_ms: float) -> bytes:
         record = self.quarantine.record(fingerprint)
-        assert record is not None and self._store_ahead_ms is not None
-        stored_ms = round(now_ms + self._store_ahead_ms, 1)
+        assert record is not None and self._store_clock_offset_ms is not None
+        stored_ms = round(now_ms + self._store_clock_offset_ms, 1)
         return encode_kept(KeptSuspect(told_of(record, now_ms), stored_ms))
--- a/src/coursekeel/suspects/_lost_runs.py
+++ b/src/coursekeel/suspects/_lost_runs.py
@@ -1,9 +1,9 @@
-"""Runs that were lost with an endpoint, while it is asked whether it has ended.
+"""Lost runs that may have crashed their endpoint, until a probe of it has ended.
 
-Rule: a run that had given its answer for longer than a moment isn't what ended its
-endpoint. Of the others it counts what was seen of them (`Sign`).
+Rule: a run that had produced output for more than a second isn't the cause of a crash.
+Any other is a suspect, with the `Sign` that it had shown.
 
-Owns the runs that wait for an endpoint's answer. A core: moments are given, in ms.
+Owns the suspects of each probe. Times are in ms. Does no I/O.
 """
 
 from attrs import define, field, frozen
@@ -12,14 +12,13 @@
 
 __all__ = ["LostRuns", "Suspect", "sign_of"]
 
-# A request that ends its endpoint does so when it begins to run: 54 to 121 ms after, in
-# a recorded day. One that gave of its answer for so much longer is another's victim.
-_MOMENT_MS = 1_000.0
+# Requests that crash an endpoint do so soon after they begin to run.
+_MAX_SUSPECT_OUTPUT_MS = 1_000.0
 
 
 @frozen
 class Suspect:
-    """A request that an endpoint had when it ended, and when its run was lost."""
+    """A request whose run was lost at ``lost_ms`` and may have crashed the endpoint."""
 
     fingerprint: str
     sign: Sign
@@ -27,29 +26,29 @@
 
 
 def sign_of(ran_ms: float | None, gave_ms: float | None) -> Sign | None:
-    """What was seen of a lost run; None if it can't be what ended its endpoint.
+    """The sign of a lost run; None if it can't have crashed its endpoint.
 
-    ``ran_ms`` is how long ago its answer's head came, ``gave_ms`` the first of its
-    answer; None if none came.
+    ``ran_ms`` is the time since its response head arrived, ``gave_ms`` that since its
+    first output; None if nothing arrived.
     """
     if gave_ms is not None:
-        return Sign.GAVE if gave_ms <= _MOMENT_MS else None
+        return Sign.GAVE if gave_ms <= _MAX_SUSPECT_OUTPUT_MS else None
     return Sign.UNSEEN if ran_ms is None else Sign.BEGAN
 
 
 @define(eq=False)
 class LostRuns:
-    """By endpoint, the requests that may have ended it."""
+    """The suspects of each endpoint that is being probed."""
 
-    _waiting: dict[str, dict[str, Suspect]] = field(factory=dict)
+    _by_endpoint: dict[str, dict[str, Suspect]] = field(factory=dict)
 
     def add(self, endpoint_id: str, suspect: Suspect) -> bool:
-        """Note a lost run; say whether its endpoint is to be asked for it."""
-        is_first = endpoint_id not in self._waiting
-        waiting = self._waiting.setdefault(endpoint_id, {})
-        waiting.setdefault(suspect.fingerprint, suspect)
+        """Add a lost run; True if the caller must begin a probe of the endpoint."""
+        is_first = endpoint_id not in self._by_endpoint
+        suspects = self._by_endpoint.setdefault(endpoint_id, {})
+        suspects.setdefault(suspect.fingerprint, suspect)
         return is_first
 
     def taken(self, endpoint_id: str) -> list[Suspect]:
-        """The endpoint has answered, or not: those that waited for that."""
-        return list(self._waiting.pop(endpoint_id).values())
+        """Remove and return an endpoint's suspects, when the probe has ended."""
+        return list(self._by_endpoint.pop(endpoint_id).values())
--- a/src/coursekeel/suspects/_table.py
+++ b/src/coursekeel/suspects/_table.py
@@ -1,6 +1,6 @@
-"""What a site's store must offer so that barred requests outlast all instances.
+"""The interface to the store that keeps barred requests while instances restart.
 
-Owns the interface only; each kind of store has its adapter.
+Owns no state; each kind of store has its own adapter.
 """
 
 from abc import ABC, abstractmethod
@@ -13,7 +13,7 @@
 
 @frozen
 class KeptRows:
-    """What a table keeps by key, and the moment of the store's clock that it is of."""
+    """All rows by fingerprint, and the time of the read by the store's clock."""
 
     values: Mapping[str, bytes]
     store_ms: float
@@ -21,13 +21,13 @@
 
 @frozen
 class TableFailed:
-    """The store gave no answer, or one that can't be used."""
+    """The store didn't answer, or its answer was invalid."""
 
     reason: str
 
 
 class SuspectTable(ABC):
-    """Where barred requests are kept."""
+    """The rows of barred requests, by fingerprint."""
 
     @abstractmethod
     async def read(self, timeout_ms: float) -> KeptRows | TableFailed:
@@ -37,4 +37,4 @@
     async def write(
         self, kept: Mapping[str, bytes], gone: Sequence[str], timeout_ms: float
     ) -> TableFailed | None:
-        """Put and remove rows, all or nothing; None if it was done."""
+        """Atomically put ``kept`` and remove ``gone``; None if that succeeded."""
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -13,7 +13,7 @@
     Strike,
     SuspectRecord,
     Trial,
-    merged,
+    merge_records,
     record_of,
     told_of,
 )
@@ -99,7 +99,7 @@
     assert quarantine.verdict("f", after_ms) == Trial()
     tried = quarantine.begin_trial("f", after_ms)
     assert isinstance(quarantine.verdict("f", after_ms), Barred)
-    assert quarantine.trial_stands(tried)
+    assert quarantine.is_trial_valid(tried)
     quarantine.proved_sound("f", after_ms + 500)
     assert quarantine.verdict("f", after_ms + 500) is None
 
@@ -110,7 +110,7 @@
     at_ms = 200 + BAR_MS
     tried = quarantine.begin_trial("f", at_ms)
     quarantine.strike("f", "e3", Sign.BEGAN, at_ms + 100)
-    assert not quarantine.trial_stands(tried)
+    assert not quarantine.is_trial_valid(tried)
     assert quarantine.verdict("f", at_ms + 100) == Barred(10 * BAR_MS)
 
 
@@ -179,9 +179,12 @@
 
 @given(records(), records(), records())
 def test_members_that_were_told_the_same_know_the_same_in_any_order(a, b, c):
-    assert merged(a, b).content == merged(b, a).content
-    assert merged(merged(a, b), c).content == merged(a, merged(b, c)).content
-    assert merged(a, a) == a
+    assert merge_records(a, b).content == merge_records(b, a).content
+    assert (
+        merge_records(merge_records(a, b), c).content
+        == merge_records(a, merge_records(b, c)).content
+    )
+    assert merge_records(a, a) == a
 
 
 @given(records(), st.floats(500, 1e6))
--- a/tests/cover/test_suspect_keeper.py
+++ b/tests/cover/test_suspect_keeper.py
@@ -90,7 +90,7 @@
     table.reactor.advance(30)
     again = Kept(table).verdict()
     assert isinstance(again, Barred)
-    assert again.left_ms == pytest.approx(120_000 - 30_000, abs=500)
+    assert again.remaining_ms == pytest.approx(120_000 - 30_000, abs=500)
 
 
 def test_a_bar_that_is_over_meanwhile_is_a_trials(table):
