--- a/src/coursekeel/canary/__init__.py
+++ b/src/coursekeel/canary/__init__.py
@@ -1,4 +1,4 @@
-"""Roll-outs: a new version is tried on few requests, judged, and completed or not."""
+"""Canary rollouts: a new version gets few requests until its answers are judged."""
 
 from coursekeel.canary._conductor import CONDUCTORS, Conductor
 from coursekeel.canary._judge import Judge, SequentialJudge
@@ -26,7 +26,7 @@
     pool_of_order,
 )
 from coursekeel.canary._rollouts import PoolRollout, Rollouts
-from coursekeel.canary._tally import Evidence, RowKey, Tally, row_of
+from coursekeel.canary._tally import Evidence, RowKey, Tally, row_for_route
 
 __all__ = [
     "CANARY_MARK",
@@ -57,5 +57,5 @@
     "encode_ruling",
     "order_id",
     "pool_of_order",
-    "row_of",
+    "row_for_route",
 ]
--- a/src/coursekeel/canary/_conductor.py
+++ b/src/coursekeel/canary/_conductor.py
@@ -1,18 +1,17 @@
-"""Conduct a roll-out: how much the new version may get, and when it is over.
+"""Controls one rollout: the new version's share of requests, and the outcome.
 
-Rule: until the last part of the time a share of new requests goes to the new version,
-little at first. The share stays below the operators' bound to the end, since a version
-may turn bad at any moment. Condemned, it is taken back at once, also while the store is
-away. Not condemned, it gets all new requests in the last part, so that the
-old version's runs end before its endpoints stop; that happens when the record says
-`completed`, so it is written first and believed then.
+Rule: the new version first gets a share of the new requests, which starts low and stays
+below the operators' bound, since a version may become bad at any time. If it is judged
+bad, it is rolled back at once, even while the store is unavailable. Otherwise it gets
+all new requests in the closing phase, so that the old version's runs finish before its
+endpoints stop. They stop when the record says `completed`, so the phase changes only
+after that is written.
 
-Two members chosen by hashing each conduct from what all instances report; the first of
-them says when to close and to complete, the other would condemn as well. Whoever takes
-over from one that is gone hears of the time that has passed and of all counters within
-one report.
+Two members, chosen by hashing, each conduct a rollout by the reports of all instances.
+Only the first begins the closing phase and completes; either may roll back. A member
+that replaces one learns the elapsed time and all counters from the next reports.
 
-Owns what instances reported. A core: each moment is given, in ms.
+Owns the instances' last reports. Times are in ms. Does no I/O.
 """
 
 from collections.abc import Collection
@@ -34,29 +33,29 @@
 
 __all__ = ["CONDUCTORS", "Conductor"]
 
-# Members that conduct one roll-out: one may be gone or cut off.
+# Members that conduct one rollout: one may have crashed or be partitioned.
 CONDUCTORS = 2
-# Of the bound on the share; the rest is for luck and for repeats.
-_SHARE_USED = 0.8
-# Of the slack, spread over the requests that are expected while the version is tried:
-# without it a pool with few requests would be judged by none.
-_SLACK_USED = 0.5
-_MOST_SHARE = 0.5
-# Until so many answers are in, and the pool's rate is known, a part of the share.
-_FIRST_ANSWERS = 20
-_FIRST_MS = 2_000.0
-_FIRST_PART = 0.25
-# The last part of the time, in which the old version's runs end, and what is left for
-# the record: streams of the users' sites take 5 to 7 s.
-_CLOSING_PART = 1 / 3
-_CLOSING_MOST_MS = 8_000.0
-_RECORD_PART = 0.1
-_RECORD_MOST_MS = 1_000.0
+# Below the bound on the share, to leave room for random variation and repeats.
+_SHARE_SAFETY_FACTOR = 0.8
+# Part of the slack, spread over the requests expected before the closing phase, so that
+# a pool with few requests still gets answers to judge by.
+_SLACK_SAFETY_FACTOR = 0.5
+_MAX_SHARE = 0.5
+# The share is lower until one of these is reached.
+_INITIAL_ANSWERS = 20
+_INITIAL_MS = 2_000.0
+_INITIAL_SHARE_FACTOR = 0.25
+# The end of the rollout's time: the closing phase, in which the old version's runs
+# finish, and then the time to write the record.
+_CLOSING_FRACTION = 1 / 3
+_MAX_CLOSING_MS = 8_000.0
+_RECORD_FRACTION = 0.1
+_MAX_RECORD_MS = 1_000.0
 
 
 @frozen
-class _Seen:
-    """An instance's last report."""
+class _InstanceState:
+    """What an instance last reported of its own state."""
 
     phase: Phase
     old_runs: int
@@ -64,9 +63,11 @@
 
 @define(eq=False)
 class Conductor:
-    """One member's judgement of one order; ``began_ms`` may lie before its own start.
+    """One member's control of one order's rollout.
 
-    ``reason`` says why a version was taken back.
+    ``moment`` is the order's store position. ``began_ms`` is when the order was given,
+    which may be before this process started. ``reason`` says why the version was rolled
+    back, for the log.
     """
 
     order: RolloutOrder
@@ -77,40 +78,44 @@
     evidence: Evidence = field(factory=Evidence)
     reason: str = ""
     _machine: Machine = field(factory=lambda: load_chart("rollout").machine())
-    _seen: dict[str, _Seen] = field(factory=dict)
+    _states: dict[str, _InstanceState] = field(factory=dict)
 
     @property
     def phase(self) -> Phase:
-        """How far the roll-out is."""
+        """The current phase."""
         return Phase(self._machine.state)
 
     def report(self, report: RolloutReport, now_ms: float) -> None:
-        """Take an instance's report of this order."""
+        """Add an instance's report of this order."""
         self.began_ms = min(self.began_ms, now_ms - report.elapsed_ms)
-        self._seen[report.sender] = _Seen(report.phase, report.old_runs)
-        self.evidence.take(report.sender, report.life, report.rows)
+        self._states[report.sender] = _InstanceState(report.phase, report.old_runs)
+        self.evidence.update(report.sender, report.process_incarnation, report.rows)
         if report.phase is Phase.ROLLED_BACK:
-            self._condemn("reported")
+            self._roll_back("reported")
 
     def look(self, now_ms: float, leading: bool, has_new: bool) -> None:
-        """Judge by what is known now; ``has_new``: the target has endpoints."""
+        """Judge the version by the reports so far, and move to the next phase if due.
+
+        ``leading`` says that this member is the first conductor, ``has_new`` that the
+        target version has endpoints.
+        """
         if self.phase.final:
             return
         if self.judge.condemns(self.evidence.totals):
-            self._condemn("worse")
-        elif leading and self._elapsed(now_ms) >= self._closing_at_ms:
+            self._roll_back("worse")
+        elif leading and self._elapsed_ms(now_ms) >= self._closing_at_ms:
             if has_new:
                 self._machine.feed("passed")
-            elif self._elapsed(now_ms) >= self._complete_by_ms:
-                self._condemn("no_endpoints")
+            elif self._elapsed_ms(now_ms) >= self._complete_by_ms:
+                self._roll_back("no_endpoints")
 
-    def _condemn(self, reason: str) -> None:
+    def _roll_back(self, reason: str) -> None:
         if self._machine.takes("condemned") and not self.phase.final:
             self._machine.feed("condemned")
             self.reason = reason
 
     def wanted(self, now_ms: float, members: Collection[str]) -> RolloutState:
-        """What the record should say now."""
+        """The state that the record should have now; ``members`` are those alive."""
         if self.phase is Phase.ROLLED_BACK:
             return RolloutState.ROLLED_BACK
         if self.phase is Phase.COMPLETED or self._may_complete(now_ms, members):
@@ -118,33 +123,36 @@
         return RolloutState.RUNNING
 
     def _may_complete(self, now_ms: float, members: Collection[str]) -> bool:
-        """Say whether nothing runs at the old version any more, or no time is left."""
+        """Say whether the old version has no runs left, or the time is over."""
         if self.phase is not Phase.CLOSING:
             return False
-        if self._elapsed(now_ms) >= self._complete_by_ms:
+        if self._elapsed_ms(now_ms) >= self._complete_by_ms:
             return True
-        seen = [self._seen.get(each) for each in members]
+        states = [self._states.get(member) for member in members]
         return all(
-            each is not None and each.phase is Phase.CLOSING and not each.old_runs
-            for each in seen
+            state is not None and state.phase is Phase.CLOSING and not state.old_runs
+            for state in states
         )
 
     def recorded(self, state: RolloutState) -> None:
-        """The record says so, by this member's own write."""
+        """Handle that this member wrote the state to the record."""
         if state is RolloutState.COMPLETED and self._machine.takes(
             "recorded_completed"
         ):
             self._machine.feed("recorded_completed")
 
     def found(self, state: RolloutState) -> None:
-        """Another member wrote a final state; the first one counts."""
-        name = f"found_{state.value}"
-        if state is not RolloutState.RUNNING and self._machine.takes(name):
-            self._machine.feed(name)
+        """Adopt a final state that another member recorded or decided."""
+        chart_input = f"found_{state.value}"
+        if state is not RolloutState.RUNNING and self._machine.takes(chart_input):
+            self._machine.feed(chart_input)
             self.reason = self.reason or "recorded"
 
     def ruling(self, own: str, now_ms: float, in_force: tuple[str, ...] = ()) -> Ruling:
-        """What instances are told."""
+        """The decision to send to all instances; ``own`` is this member.
+
+        The versions ``in_force`` are those before the order.
+        """
         return Ruling(
             own,
             self.order.pool,
@@ -152,30 +160,30 @@
             self.moment,
             self.phase,
             self._share(now_ms),
-            self._elapsed(now_ms),
+            self._elapsed_ms(now_ms),
             in_force,
         )
 
     def _share(self, now_ms: float) -> float:
-        usual = _SHARE_USED * self.bounds.share
-        elapsed_ms = self._elapsed(now_ms)
-        tried = self.evidence.answers(Side.NEW)
-        if tried < _FIRST_ANSWERS and elapsed_ms < _FIRST_MS:
-            return _FIRST_PART * usual
-        answers = tried + self.evidence.answers(Side.OLD)
-        expected = answers * self._closing_at_ms / max(elapsed_ms, _FIRST_MS)
-        of_slack = _SLACK_USED * self.bounds.slack / max(expected, 1.0)
-        return min(usual + of_slack, _MOST_SHARE)
-
-    def _elapsed(self, now_ms: float) -> float:
+        usual_share = _SHARE_SAFETY_FACTOR * self.bounds.share
+        elapsed_ms = self._elapsed_ms(now_ms)
+        new_answers = self.evidence.answers(Side.NEW)
+        if new_answers < _INITIAL_ANSWERS and elapsed_ms < _INITIAL_MS:
+            return _INITIAL_SHARE_FACTOR * usual_share
+        answers = new_answers + self.evidence.answers(Side.OLD)
+        expected = answers * self._closing_at_ms / max(elapsed_ms, _INITIAL_MS)
+        extra_share = _SLACK_SAFETY_FACTOR * self.bounds.slack / max(expected, 1.0)
+        return min(usual_share + extra_share, _MAX_SHARE)
+
+    def _elapsed_ms(self, now_ms: float) -> float:
         return now_ms - self.began_ms
 
     @property
     def _complete_by_ms(self) -> float:
         duration_ms = self.order.duration_ms
-        return duration_ms - min(_RECORD_PART * duration_ms, _RECORD_MOST_MS)
+        return duration_ms - min(_RECORD_FRACTION * duration_ms, _MAX_RECORD_MS)
 
     @property
     def _closing_at_ms(self) -> float:
-        closing_ms = min(_CLOSING_PART * self.order.duration_ms, _CLOSING_MOST_MS)
+        closing_ms = min(_CLOSING_FRACTION * self.order.duration_ms, _MAX_CLOSING_MS)
         return self._complete_by_ms - closing_ms
--- a/src/coursekeel/canary/_judge.py
+++ b/src/coursekeel/canary/_judge.py
@@ -1,17 +1,16 @@
-"""Judge: is the new version worse than the old, by more than chance?
+"""Judges by a sequential test whether the new version is worse than the old one.
 
-Rule: of each row of routes, and of all together, cumulative sums of log likelihood
-ratios are kept: how much better the new version's answers agree with a version that
-does some harm than with one that is as good as the old, for little, more and great
-harm. They never fall below zero, so that a fault that begins late is seen as soon as
-one that was there from the start. What condemns grows with the answers that are in,
-since each is a chance to err. Bad answers are those that failed and those that took
-several times longer than the old version's usual.
+Rule: for each row of routes, and for all rows together, a CUSUM test runs: cumulative
+sums of log likelihood ratios, of a version that gives more bad answers against one as
+good as the old. There is one sum for each of several effect sizes. A sum never falls
+below zero, so that a fault that begins late is found as quickly as an early one. The
+threshold grows with the number of answers, which bounds the false alarms. Bad answers
+are those that failed or took more than about twice as long as the old version's median.
 
-The old version's share of bad answers is that of all its answers, or of the latest if
-that is worse: a burst or a fault of the whole service condemns nobody.
+The old version's share of bad answers is that of all its answers, or of the recent ones
+if that is higher, so that a fault of the whole service doesn't condemn the new version.
 
-Owns the sums. A core.
+Owns the sums. Does no I/O.
 """
 
 import math
@@ -25,142 +24,148 @@
 
 __all__ = ["Judge", "SequentialJudge", "bad_answers", "usual_limit"]
 
-# Shares of what the old version answers well that a bad one fails. The least bounds
-# what is found at all; with the others a great harm is seen after few answers.
-_HARMS = (0.1, 0.3, 0.8)
-# The sum that condemns, beside the logarithm of the answers: what chance alone takes a
-# good version to is some thousandths. One row of several needs more.
-_CONDEMNED = 4.0
-_ROW_CONDEMNED = _CONDEMNED + math.log(ROUTE_ROWS)
-# What is thought of the old version before it has answered.
-_PRIOR_BAD = 0.5
+# The shares of the old version's good answers that a worse version makes bad. Large
+# effects are found after few answers.
+_EFFECT_SIZES = (0.1, 0.3, 0.8)
+# Thresholds of the log likelihood ratio; the logarithm of the number of answers is
+# added to them. That of a row is higher, since there are several rows.
+_TOTAL_THRESHOLD = 4.0
+_ROW_THRESHOLD = _TOTAL_THRESHOLD + math.log(ROUTE_ROWS)
+# The prior for the old version's share of bad answers.
+_PRIOR_BAD_ANSWERS = 0.5
 _PRIOR_ANSWERS = 10.0
-# Of what was seen lately, the part that still counts a look later.
-_LATELY_KEPT = 0.7
-# Several times slower: two doublings of the bucket's width are twice as long.
-_SLOWER_BUCKETS = 2
-# Fewer answers tell nothing of what is usual.
-_LEAST_USUAL = 10
+# The weight that recent answers keep at each later evaluation.
+_RECENT_DECAY = 0.7
+# Buckets grow by the square root of two: two of them are a factor of two.
+_SLOW_BUCKETS = 2
+# A median of fewer answers isn't used.
+_MIN_GOOD_ANSWERS = 10
 
 
 class Judge(ABC):
-    """Compares the two sides' answers, each look with all that is known by then."""
+    """Compares the answers of the two versions."""
 
     @abstractmethod
     def condemns(self, totals: Mapping[RowKey, Tally]) -> bool:
-        """Say whether the new version is bad; once it is, it stays so."""
+        """Say whether the new version is bad; once it is, that stays.
+
+        Called each period with the sums of all counters since the order.
+        """
 
 
 def usual_limit(old: Tally) -> int | None:
-    """The bucket beyond which an answer is several times slower than usual."""
+    """The bucket above which an answer is slow; None if there are too few answers."""
     good = old.answers - old.failed
-    if good < _LEAST_USUAL:
+    if good < _MIN_GOOD_ANSWERS:
         return None
     seen = 0
     for bucket, count in enumerate(old.latencies):
         seen += count
         if 2 * seen >= good:
-            return bucket + _SLOWER_BUCKETS
+            return bucket + _SLOW_BUCKETS
     return None
 
 
 def bad_answers(tally: Tally, limit: int | None) -> int:
-    """Answers that failed, or took longer than a limit."""
+    """The number of answers that failed or are in a bucket above ``limit``."""
     slow = 0 if limit is None else tally.slower_than(limit)
     return tally.failed + slow
 
 
 @define
-class _Count:
-    """Answers, and the bad ones among them."""
+class _Counts:
+    """The number of answers, and of bad ones among them."""
 
     bad: float = 0.0
     answers: float = 0.0
 
-    def add(self, other: "_Count", kept: float = 1.0) -> None:
-        self.bad = kept * self.bad + other.bad
-        self.answers = kept * self.answers + other.answers
+    def add(self, other: "_Counts", decay: float = 1.0) -> None:
+        self.bad = decay * self.bad + other.bad
+        self.answers = decay * self.answers + other.answers
 
     @property
     def share(self) -> float:
-        """The share of bad ones, a deviation on the safe side."""
+        """The share of bad answers, estimated high by one standard deviation."""
         count = self.answers + _PRIOR_ANSWERS
-        mean = (self.bad + _PRIOR_BAD) / count
+        mean = (self.bad + _PRIOR_BAD_ANSWERS) / count
         return min(mean + math.sqrt(mean * (1 - mean) / count), 1.0)
 
 
 @define
-class _Sums:
-    """The old side's shares, and the new side's sums for each harm."""
+class _SequentialTest:
+    """The old version's counts, and the new one's sum for each effect size."""
 
-    old: _Count = field(factory=_Count)
-    lately: _Count = field(factory=_Count)
+    old: _Counts = field(factory=_Counts)
+    recent: _Counts = field(factory=_Counts)
     new_answers: float = 0.0
-    totals: list[float] = field(factory=lambda: [0.0] * len(_HARMS))
+    totals: list[float] = field(factory=lambda: [0.0] * len(_EFFECT_SIZES))
+
+    def add_answers(self, old: _Counts, new: _Counts) -> float:
+        """Add the answers since the last call; returns the greatest sum.
 
-    def look(self, old: _Count, new: _Count) -> float:
-        """Take what came since the last look; gives how far it is over what chance
-        would do.
+        The logarithm of the number of answers is already subtracted from it.
         """
         self.old.add(old)
-        self.lately.add(old, _LATELY_KEPT)
+        self.recent.add(old, _RECENT_DECAY)
         self.new_answers += new.answers
-        share = max(self.old.share, self.lately.share)
+        share = max(self.old.share, self.recent.share)
         self.totals = [
-            max(0.0, total + _log_ratio(new, share, harm))
-            for total, harm in zip(self.totals, _HARMS, strict=True)
+            max(0.0, total + _log_ratio(new, share, effect))
+            for total, effect in zip(self.totals, _EFFECT_SIZES, strict=True)
         ]
         return max(self.totals) - math.log(1 + self.new_answers)
 
 
-def _log_ratio(new: _Count, share: float, harm: float) -> float:
-    harmed = share + harm * (1 - share)
-    if harmed >= 1:
+def _log_ratio(new: _Counts, share: float, effect: float) -> float:
+    worse_share = share + effect * (1 - share)
+    if worse_share >= 1:
         return 0.0
     good = new.answers - new.bad
-    of_good = good * math.log((1 - harmed) / (1 - share))
-    return new.bad * math.log(harmed / share) + of_good
+    good_term = good * math.log((1 - worse_share) / (1 - share))
+    return new.bad * math.log(worse_share / share) + good_term
 
 
-def _sum(totals: Mapping[RowKey, Tally], side: Side) -> Tally:
-    found = Tally()
-    for (_, of), tally in totals.items():
-        if of is side:
-            found = found.plus(tally)
-    return found
+def _total_of_side(totals: Mapping[RowKey, Tally], side: Side) -> Tally:
+    total = Tally()
+    for (_, tally_side), tally in totals.items():
+        if tally_side is side:
+            total = total.plus(tally)
+    return total
 
 
 @define(eq=False)
 class SequentialJudge(Judge):
-    """Condemns by cumulative sums."""
+    """Judges by a CUSUM test for each row, and one for all rows together."""
 
-    _seen: dict[RowKey, Tally] = field(factory=dict)
-    _rows: dict[int, _Sums] = field(factory=dict)
-    _all: _Sums = field(factory=_Sums)
+    _last_totals: dict[RowKey, Tally] = field(factory=dict)
+    _rows: dict[int, _SequentialTest] = field(factory=dict)
+    _all_rows: _SequentialTest = field(factory=_SequentialTest)
     _condemned: bool = False
 
     def condemns(self, totals: Mapping[RowKey, Tally]) -> bool:
-        """Take a look."""
-        all_old, all_new = _Count(), _Count()
-        usual = usual_limit(_sum(totals, Side.OLD))
+        """See `Judge.condemns`."""
+        all_old, all_new = _Counts(), _Counts()
+        common_limit = usual_limit(_total_of_side(totals, Side.OLD))
         for row in {number for number, _ in totals}:
-            # A row with few answers is held against what is usual for all.
+            # A row with few answers uses the limit of all rows.
             limit = usual_limit(totals.get((row, Side.OLD), Tally()))
-            limit = usual if limit is None else limit
-            old = self._grown(totals, (row, Side.OLD), limit)
-            new = self._grown(totals, (row, Side.NEW), limit)
-            sums = self._rows.setdefault(row, _Sums())
-            self._condemned |= sums.look(old, new) > _ROW_CONDEMNED
+            limit = common_limit if limit is None else limit
+            old = self._take_increase(totals, (row, Side.OLD), limit)
+            new = self._take_increase(totals, (row, Side.NEW), limit)
+            test = self._rows.setdefault(row, _SequentialTest())
+            self._condemned |= test.add_answers(old, new) > _ROW_THRESHOLD
             all_old.add(old)
             all_new.add(new)
-        self._condemned |= self._all.look(all_old, all_new) > _CONDEMNED
+        self._condemned |= (
+            self._all_rows.add_answers(all_old, all_new) > _TOTAL_THRESHOLD
+        )
         return self._condemned
 
-    def _grown(
+    def _take_increase(
         self, totals: Mapping[RowKey, Tally], key: RowKey, limit: int | None
-    ) -> _Count:
-        """What came of a row since the last look."""
+    ) -> _Counts:
+        """The counts of a row and side since the last call."""
         now = totals.get(key, Tally())
-        since = now.minus(self._seen.get(key, Tally()))
-        self._seen[key] = now
-        return _Count(bad_answers(since, limit), since.answers)
+        since = now.minus(self._last_totals.get(key, Tally()))
+        self._last_totals[key] = now
+        return _Counts(bad_answers(since, limit), since.answers)
--- a/src/coursekeel/canary/_messages.py
+++ b/src/coursekeel/canary/_messages.py
@@ -1,8 +1,8 @@
-"""What members tell each other of roll-outs, and how it is written.
+"""Messages between members about rollouts: their encoding and decoding.
 
-Owns the datagrams' form: a letter that tells them from others, then JSON, bounded in
-size, each field checked where it is decoded. Relies on `coursekeel.strict` and orjson;
-knows nothing of sockets.
+Owns the format of the datagrams: a one-letter prefix that other messages don't have,
+then JSON of bounded size, whose fields are checked when it is decoded. Relies on
+`coursekeel.strict` and orjson; does no I/O.
 """
 
 from collections.abc import Iterable, Iterator
@@ -29,22 +29,22 @@
     "encode_ruling",
 ]
 
-# No JSON object begins with it.
+# Neither JSON objects nor messages of the quarantine begin with this letter.
 CANARY_MARK = b"V"
-# Enough of a fault for a log line.
 _MAX_FAULT_CHARACTERS = 200
 _BUCKETS = len(Tally().latencies)
 
-Row = tuple[RowKey, Tally]
+RowTally = tuple[RowKey, Tally]
 
 
 @frozen
 class Ruling:
-    """What a conducting member says of a roll-out.
+    """A conductor's decision on a rollout, which all instances apply.
 
-    ``moment`` is the order's in the store; ``share`` of new requests may go to the new
-    version while it is tried; ``elapsed_ms`` has passed since the order. The versions
-    ``in_force`` before it are for who started since; none if they are a guess.
+    ``moment`` is the order's store position, ``share`` the new version's share of new
+    requests in the phase `TRYING`, ``elapsed_ms`` the time since the order. The
+    versions ``in_force`` before it are for instances that started later; empty if the
+    conductor isn't sure of them.
     """
 
     sender: str
@@ -59,9 +59,10 @@
 
 @frozen
 class RolloutReport:
-    """What an instance has counted so far; ``life`` is of this start of its process.
+    """An instance's counters of a rollout so far.
 
-    ``old_runs`` of its requests are at endpoints of the old version.
+    ``process_incarnation`` identifies the start of its process. ``old_runs`` is the
+    number of its requests that still run at endpoints of the old version.
     """
 
     sender: str
@@ -70,9 +71,9 @@
     moment: StoreMoment
     phase: Phase
     elapsed_ms: float
-    life: int
+    process_incarnation: int
     old_runs: int
-    rows: tuple[Row, ...]
+    rows: tuple[RowTally, ...]
 
 
 RolloutMessage = Ruling | RolloutReport
@@ -80,14 +81,14 @@
 
 @frozen
 class UnreadableRollout:
-    """A datagram that is no message; ``fault`` names the field and what was wrong."""
+    """Data that can't be decoded; ``fault`` names the field and the problem."""
 
     fault: str
 
 
 @frozen
 class _RowForm:
-    """One row; ``latencies`` are pairs of a bucket and its count."""
+    """A row as it is sent; ``latencies`` are pairs of a bucket and its count."""
 
     row: int
     side: str
@@ -98,7 +99,7 @@
 
 @frozen
 class _Form:
-    """One datagram; ``share`` is given by rulings alone."""
+    """A datagram; ``share`` is None in reports, and so tells them from decisions."""
 
     group: str
     sender: str
@@ -119,26 +120,28 @@
 
 
 def encode_ruling(group: str, ruling: Ruling) -> bytes:
-    """The datagram of a ruling."""
+    """Encode a decision as a datagram."""
     form = _form(group, ruling)
-    return _encoded(evolve(form, share=ruling.share, in_force=ruling.in_force))
+    return _datagram(evolve(form, share=ruling.share, in_force=ruling.in_force))
 
 
 def encode_report(group: str, report: RolloutReport) -> Iterator[bytes]:
-    """The datagrams of a report, each with as many rows as it bears."""
-    form = evolve(_form(group, report), life=report.life, old_runs=report.old_runs)
-    room = MAX_MESSAGE_BYTES - len(_encoded(form))
-    taken: list[bytes] = []
-    taken_bytes = 0
+    """Encode a report as datagrams, each with as many rows as fit."""
+    form = evolve(
+        _form(group, report), life=report.process_incarnation, old_runs=report.old_runs
+    )
+    room_bytes = MAX_MESSAGE_BYTES - len(_datagram(form))
+    batch: list[bytes] = []
+    batch_bytes = 0
     for row in report.rows:
         encoded = orjson.dumps(attrs.asdict(_row_form(row)))
         row_bytes = len(encoded) + len(b",")
-        if taken and taken_bytes + row_bytes > room:
-            yield _encoded(form, taken)
-            taken, taken_bytes = [], 0
-        taken.append(encoded)
-        taken_bytes += row_bytes
-    yield _encoded(form, taken)
+        if batch and batch_bytes + row_bytes > room_bytes:
+            yield _datagram(form, batch)
+            batch, batch_bytes = [], 0
+        batch.append(encoded)
+        batch_bytes += row_bytes
+    yield _datagram(form, batch)
 
 
 def _form(group: str, message: RolloutMessage) -> _Form:
@@ -155,24 +158,24 @@
     )
 
 
-def _encoded(form: _Form, rows: Iterable[bytes] = ()) -> bytes:
-    fields = attrs.asdict(form, filter=_is_told)
-    fields["rows"] = [orjson.Fragment(each) for each in rows]
+def _datagram(form: _Form, rows: Iterable[bytes] = ()) -> bytes:
+    fields = attrs.asdict(form, filter=_is_set)
+    fields["rows"] = [orjson.Fragment(row) for row in rows]
     return CANARY_MARK + orjson.dumps(fields)
 
 
-def _is_told(_field: Any, value: Any) -> bool:
+def _is_set(_field: Any, value: Any) -> bool:
     return value is not None
 
 
-def _row_form(row: Row) -> _RowForm:
+def _row_form(row: RowTally) -> _RowForm:
     (number, side), tally = row
     counts = tuple((b, n) for b, n in enumerate(tally.latencies) if n)
     return _RowForm(number, side.value, tally.answers, tally.failed, counts)
 
 
 def decode_rollout(data: bytes) -> tuple[str, RolloutMessage] | UnreadableRollout:
-    """Read a datagram that begins with `CANARY_MARK`: its group, and what it says."""
+    """Decode a datagram that begins with `CANARY_MARK`: its group and its message."""
     if len(data) > MAX_MESSAGE_BYTES:
         return UnreadableRollout(
             f"got {len(data)} bytes, expected at most {MAX_MESSAGE_BYTES}"
@@ -180,13 +183,13 @@
     try:
         value = orjson.loads(data.removeprefix(CANARY_MARK))
         form = _CONVERTER.structure(value, _Form)
-        return form.group, _message_of(form)
-    except Exception as failure:  # whatever a peer sends is a value here
+        return form.group, _message_from_form(form)
+    except Exception as failure:  # invalid data from a peer must not raise
         faults = "; ".join(faults_of(failure, whole="message"))
         return UnreadableRollout(faults[:_MAX_FAULT_CHARACTERS])
 
 
-def _message_of(form: _Form) -> RolloutMessage:
+def _message_from_form(form: _Form) -> RolloutMessage:
     moment, phase = StoreMoment(form.era, form.version), Phase(form.phase)
     if form.share is not None:
         return Ruling(
@@ -208,18 +211,18 @@
         max(form.elapsed_ms, 0.0),
         form.life,
         max(form.old_runs, 0),
-        tuple(_row_of(each) for each in form.rows),
+        tuple(_row_from_form(row) for row in form.rows),
     )
 
 
-def _row_of(form: _RowForm) -> Row:
+def _row_from_form(form: _RowForm) -> RowTally:
     counts = [0] * _BUCKETS
     for pair in form.latencies:
         bucket, count = _bucket_count(pair)
         counts[bucket] = count
     good = form.answers - form.failed
     if not 0 <= form.row < ROUTE_ROWS or form.failed < 0 or sum(counts) != good:
-        raise ValueError(f"rows: got counters that can't be of row {form.row}")
+        raise ValueError(f"rows: got inconsistent counters of row {form.row}")
     return (form.row, Side(form.side)), Tally(form.answers, form.failed, tuple(counts))
 
 
--- a/src/coursekeel/canary/_model.py
+++ b/src/coursekeel/canary/_model.py
@@ -1,10 +1,10 @@
-"""What a roll-out is: an order, its phases, its bounds, and the record of its state.
+"""The types of a rollout: its order, phases and bounds, and the record of its state.
 
 An operator orders that a pool's traffic move to endpoints of one version. These start
-beside the old ones; the old ones stop at once when the record says `completed`, and the
+beside the old ones. The old endpoints stop as soon as the record says `completed`, the
 new ones some seconds after it says `rolled_back`.
 
-Owns nothing.
+Owns no state.
 """
 
 from abc import ABC, abstractmethod
@@ -29,12 +29,12 @@
 ]
 
 
-_ORDER = "rollout/"
+_ORDER_ID_PREFIX = "rollout/"
 
 
 @frozen
 class RolloutOrder:
-    """``pool`` is to be served by endpoints of version ``target`` within the time."""
+    """``pool`` is to be served by version ``target`` within ``duration_ms``."""
 
     pool: str
     target: str
@@ -42,27 +42,31 @@
 
 
 def order_id(pool: str) -> str:
-    """The id of a pool's order among the entries of its table."""
-    return f"{_ORDER}{pool}"
+    """The id under which a pool's order is an entry of the store's table."""
+    return f"{_ORDER_ID_PREFIX}{pool}"
 
 
 def pool_of_order(entry_id: str) -> str:
-    """The pool whose order an entry is; empty if it is another entry."""
-    return entry_id.removeprefix(_ORDER) if entry_id.startswith(_ORDER) else ""
+    """The pool of an order's entry; empty if the entry isn't an order."""
+    return (
+        entry_id.removeprefix(_ORDER_ID_PREFIX)
+        if entry_id.startswith(_ORDER_ID_PREFIX)
+        else ""
+    )
 
 
 class Side(Enum):
-    """Which endpoints of a pool: those in force before the order, or its target's."""
+    """The endpoints of a pool: of versions in force before the order, or its target."""
 
     OLD = "old"
     NEW = "new"
 
 
 class Phase(Enum):
-    """How far a roll-out is.
+    """The phases of a rollout.
 
-    ``TRYING``: a share of new requests goes to the new version. ``CLOSING``: all new
-    requests do, and the old version's runs end.
+    ``TRYING``: a share of the new requests goes to the new version. ``CLOSING``: all
+    new requests do, while the old version's runs finish.
     """
 
     TRYING = "trying"
@@ -72,17 +76,17 @@
 
     @property
     def final(self) -> bool:
-        """Say whether nothing of the roll-out changes any more."""
+        """Say whether the rollout is over."""
         return self in (Phase.ROLLED_BACK, Phase.COMPLETED)
 
     @property
     def rank(self) -> int:
-        """The later phase counts; a record that says `completed` counts most."""
+        """The precedence of phases: an instance moves only to one of a higher rank."""
         return list(Phase).index(self)
 
 
 class RolloutState(Enum):
-    """What operators read of a roll-out."""
+    """The state of a rollout as operators read it."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -91,9 +95,10 @@
 
 @frozen
 class CanaryBounds:
-    """What a bad version may get, of all requests to its pool and beside that.
+    """The limits on the requests that a bad version may receive.
 
-    ``rollback_ms`` after its fiftieth bad answer nothing more may be sent to it.
+    It may get the ``share`` of its pool's requests, and ``slack`` requests more. No
+    request may be sent to it later than ``rollback_ms`` after its fiftieth bad answer.
     """
 
     share: float = 0.1
@@ -103,31 +108,31 @@
 
 @frozen
 class RolloutRecord:
-    """The record as it lies in the store; without a ``state`` there is none."""
+    """A pool's record and its store position; ``state`` is None if there is none."""
 
     state: RolloutState | None
     target: str
     moment: StoreMoment
 
-    def answers(self, order: RolloutOrder, given: StoreMoment) -> bool:
-        """Say whether it is of an order that was given at a moment, and not older."""
-        return self.target == order.target and self.moment > given
+    def answers(self, order: RolloutOrder, order_position: StoreMoment) -> bool:
+        """Say whether the record is of this order, and newer than the order."""
+        return self.target == order.target and self.moment > order_position
 
 
 @frozen
 class RecordConflict:
-    """Somebody else wrote meanwhile: the record is to be read again."""
+    """The record has changed since it was read; read it again before a write."""
 
 
 @frozen
 class RecordFailed:
-    """The store gave no answer; the write may have been done."""
+    """The store didn't answer; a write may have succeeded."""
 
     reason: str
 
 
 class RolloutRecords(ABC):
-    """Where operators read what became of their orders."""
+    """The records in which operators read the states of their orders."""
 
     @abstractmethod
     async def read(self, pool: str, timeout_ms: float) -> RolloutRecord | RecordFailed:
@@ -141,4 +146,4 @@
         before: RolloutRecord,
         timeout_ms: float,
     ) -> RolloutRecord | RecordConflict | RecordFailed:
-        """Write it in place of ``before``, if that still stands there."""
+        """Write a state if the record is still ``before`` (compare-and-set)."""
--- a/src/coursekeel/canary/_rollouts.py
+++ b/src/coursekeel/canary/_rollouts.py
@@ -1,19 +1,19 @@
-"""Which version of a pool a request may go to, and what is counted of it.
+"""Selects the version of a pool that a request may go to, and counts the answers.
 
-Rule: without an order every version that the list of endpoints names may serve, a new
-one once this instance has read all orders up to the moment at which the list first
-named it: an order that was given before it is then known. With an order, endpoints of
-the target get only what a conducting member's last ruling allows, and nothing without
-a ruling of the last moments, since a verdict may have been missed. A version that no
-order names and that wasn't there before the order gets nothing.
+Rule: without an order, every version in the list of endpoints may serve. A version that
+appears later may serve once this instance has read all orders up to the store position
+of one of its endpoints, since an earlier order may apply to it. With an order, the
+target version gets only the share that a conductor's recent decision allows; without a
+recent one it gets nothing, since a rollback may have been missed. Versions that are
+neither the target nor were in force before the order get nothing.
 
-A request is tried at the new version once, when it is first placed, and only if there
-is room for it at once; whatever is sent again goes to the old one.
+A request may go to the new version only when it is first placed, and only if there is
+room at once; if it is sent again, it goes to the old version.
 
-The new version is tried at as many of its endpoints as it has a share of requests, so
-that each bears about what an old one does: some versions fail only under load.
+The number of new endpoints in use is in proportion to the share of requests, so that
+each gets a usual load: some versions fail only under load.
 
-Owns each pool's order, phase and counters of this instance. A core.
+Owns each pool's order and phase, and this instance's counters. Does no I/O.
 """
 
 import math
@@ -25,78 +25,86 @@
 
 from coursekeel.canary._messages import RolloutReport, Ruling
 from coursekeel.canary._model import CanaryBounds, Phase, RolloutOrder, Side
-from coursekeel.canary._tally import RowKey, Tally, row_of
+from coursekeel.canary._tally import RowKey, Tally, row_for_route
 from coursekeel.forwarding import EndpointRecord, StoreMoment
 
 __all__ = ["PoolRollout", "Rollouts"]
 
-# A ruling counts for so many of the periods in which reports are sent: two may be lost.
-_RULING_PERIODS = 3
-# Fewer endpoints than this make one's crash look like the version's fault.
-_LEAST_TRIED = 2
-# Runs that one endpoint loses within this time are lost by one cause.
-_ONE_LOSS_MS = 1_000.0
-# Bits of the number that tells this life of the process from others.
-_LIFE_BITS = 48
+# A decision is valid for this many report periods, so that two may be lost.
+_DECISION_VALID_PERIODS = 3
+# With fewer, the crash of one endpoint would look like a fault of the version.
+_MIN_NEW_ENDPOINTS = 2
+# Runs that an endpoint loses within this time have one cause and count once.
+_SAME_CAUSE_MS = 1_000.0
+_INCARNATION_BITS = 48
 
 
 @define(eq=False)
 class PoolRollout:
-    """One pool's order as this instance obeys it."""
+    """One pool's rollout as this instance applies it.
+
+    ``moment`` is the order's store position, ``began_ms`` when it was given, and
+    ``decided_ms`` when the last decision on ``share`` arrived. ``lost_ms`` is when each
+    endpoint's last counted loss of a run was, by endpoint id.
+    """
 
     order: RolloutOrder
     moment: StoreMoment
     began_ms: float
     phase: Phase = Phase.TRYING
     share: float = 0.0
-    heard_ms: float = -math.inf
+    decided_ms: float = -math.inf
     tallies: dict[RowKey, Tally] = field(factory=dict)
     lost_ms: dict[str, float] = field(factory=dict)
 
     @property
     def tried_pool(self) -> str:
-        """What routing calls the new version's endpoints until the order is over."""
+        """The pool name of the new endpoints in routing, during the rollout."""
         return f"{self.order.pool}@{self.order.target}"
 
-    def obeys(self, ruling: Ruling) -> bool:
-        """Say whether a ruling is of this order, and not of one before it."""
+    def accepts(self, ruling: Ruling) -> bool:
+        """Say whether a decision is of this order, not of an earlier one."""
         return ruling.target == self.order.target and ruling.moment >= self.moment
 
 
 @define(eq=False)
 class Rollouts:
-    """The orders of all pools; ``period_ms`` says how often conductors are heard."""
+    """The rollouts of all pools, by pool.
+
+    ``period_ms`` returns the interval at which conductors send decisions.
+    """
 
     bounds: CanaryBounds
     random: Random
     period_ms: Callable[[], float]
     by_pool: dict[str, PoolRollout] = field(factory=dict)
-    life: int = field(init=False)
+    process_incarnation: int = field(init=False)
     _in_force: dict[str, set[str]] = field(factory=dict)
-    _guessed: set[str] = field(factory=set)
-    _taken_back: dict[str, set[str]] = field(factory=dict)
-    _orders_read: StoreMoment | None = None
+    _guessed_in_force: set[str] = field(factory=set)
+    _withdrawn_versions: dict[str, set[str]] = field(factory=dict)
+    _orders_position: StoreMoment | None = None
     _version_of: dict[str, str] = field(factory=dict)
     _new_endpoints: dict[str, list[str]] = field(factory=dict)
     _old_endpoints: dict[str, list[str]] = field(factory=dict)
-    _waits: bool = False
+    _endpoints_waiting: bool = False
 
     @classmethod
     def none(cls) -> "Rollouts":
-        """Those of an instance that reads no orders."""
+        """For an instance that reads no orders."""
         return cls(CanaryBounds(), Random(0), lambda: 0.0)
 
     def __attrs_post_init__(self) -> None:
-        self.life = self.random.getrandbits(_LIFE_BITS)
+        self.process_incarnation = self.random.getrandbits(_INCARNATION_BITS)
 
     # Orders.
 
     def ordered(
         self, order: RolloutOrder, moment: StoreMoment, now_ms: float
     ) -> PoolRollout | None:
-        """Take an order; None if it is the one that is obeyed already.
+        """Begin an order's rollout; None if the order is already applied.
 
-        One that is written again in a later era of the store is the same one.
+        ``moment`` is its store position. The same order, written again after a restore
+        of the store (a later era), doesn't begin again.
         """
         known = self.by_pool.get(order.pool)
         if known is not None and known.order == order:
@@ -107,28 +115,34 @@
         begun = PoolRollout(order, moment, now_ms)
         self.by_pool[order.pool] = begun
         self._in_force.setdefault(order.pool, set())
-        self._taken_back.get(order.pool, set()).discard(order.target)
+        self._withdrawn_versions.get(order.pool, set()).discard(order.target)
         return begun
 
     def withdrawn(self, kept: Iterable[str]) -> None:
-        """Only these pools have an order; what others had is over as it stands."""
+        """Withdraw the orders of all pools but those in ``kept``."""
         for pool in set(self.by_pool) - set(kept):
             self.withdrawn_one(pool)
 
     def withdrawn_one(self, pool: str) -> None:
-        """A pool has no order any more; what wasn't completed is taken back."""
+        """Withdraw a pool's order.
+
+        Its version gets nothing more, unless it was in force before or was completed.
+        """
         rollout = self.by_pool.pop(pool, None)
         self._new_endpoints.pop(pool, None)
         self._old_endpoints.pop(pool, None)
         if rollout is None or rollout.phase is Phase.COMPLETED:
             return
         if rollout.order.target not in self._in_force[pool]:
-            self._taken_back.setdefault(pool, set()).add(rollout.order.target)
+            self._withdrawn_versions.setdefault(pool, set()).add(rollout.order.target)
 
     def orders_read(self, moment: StoreMoment) -> bool:
-        """Orders are known up to a moment; True if endpoints waited for that."""
-        self._orders_read = moment
-        return self._waits
+        """Note that all orders up to a store position were read.
+
+        Returns whether endpoints wait for that; the caller then calls `split` again.
+        """
+        self._orders_position = moment
+        return self._endpoints_waiting
 
     # Endpoints.
 
@@ -137,43 +151,50 @@
         pools: dict[str, list[str]],
         record_of: Callable[[str], tuple[EndpointRecord, StoreMoment]],
     ) -> dict[str, list[str]]:
-        """The endpoints that may serve, by what routing calls their pool."""
-        self._waits = False
+        """The endpoints that may serve, by the pool name that routing uses.
+
+        ``pools`` are all listed endpoints by pool, ``record_of`` returns an endpoint's
+        record and its store position.
+        """
+        self._endpoints_waiting = False
         self._version_of = {}
         split: dict[str, list[str]] = {}
         for pool, names in pools.items():
-            known = {name: record_of(name) for name in names}
-            versions = {name: record.version for name, (record, _) in known.items()}
+            records = {name: record_of(name) for name in names}
+            versions = {name: record.version for name, (record, _) in records.items()}
             self._version_of |= versions
             if pool in self.by_pool:
-                split |= self._split_ordered(self.by_pool[pool], versions)
+                split |= self._split_with_order(self.by_pool[pool], versions)
             else:
-                moments = {name: moment for name, (_, moment) in known.items()}
-                split[pool] = self._without_order(pool, versions, moments)
+                positions = {name: position for name, (_, position) in records.items()}
+                split[pool] = self._split_without_order(pool, versions, positions)
         return split
 
-    def _without_order(
-        self, pool: str, versions: dict[str, str], moments: dict[str, StoreMoment]
+    def _split_without_order(
+        self, pool: str, versions: dict[str, str], positions: dict[str, StoreMoment]
     ) -> list[str]:
-        known, read = self._in_force.setdefault(pool, set()), self._orders_read
-        if not known:
-            known |= set(versions.values())
+        in_force, read_until = (
+            self._in_force.setdefault(pool, set()),
+            self._orders_position,
+        )
+        if not in_force:
+            in_force |= set(versions.values())
         for name, version in versions.items():
-            if read is not None and moments[name] <= read:
-                known.add(version)
-        known -= self._taken_back.get(pool, set())
-        serving = [name for name, version in versions.items() if version in known]
-        self._waits |= len(serving) < len(versions)
+            if read_until is not None and positions[name] <= read_until:
+                in_force.add(version)
+        in_force -= self._withdrawn_versions.get(pool, set())
+        serving = [name for name, version in versions.items() if version in in_force]
+        self._endpoints_waiting |= len(serving) < len(versions)
         return serving
 
-    def _split_ordered(
+    def _split_with_order(
         self, rollout: PoolRollout, versions: dict[str, str]
     ) -> dict[str, list[str]]:
         pool, target = rollout.order.pool, rollout.order.target
         in_force = self._in_force[pool]
         if not in_force:
             in_force |= set(versions.values()) - {target}
-            self._guessed.add(pool)
+            self._guessed_in_force.add(pool)
         new = sorted(name for name, version in versions.items() if version == target)
         old = [n for n, v in versions.items() if v in in_force and v != target]
         self._new_endpoints[pool], self._old_endpoints[pool] = new, old
@@ -186,14 +207,14 @@
         if not old or (rollout.phase is Phase.CLOSING and new):
             # Where the old version has no endpoint left only the new one can serve.
             return {pool: new, rollout.tried_pool: new}
-        return {pool: old, rollout.tried_pool: self._tried(rollout, new, len(old))}
+        return {pool: old, rollout.tried_pool: self._select_new(rollout, new, len(old))}
 
-    def _tried(self, rollout: PoolRollout, new: list[str], old: int) -> list[str]:
-        count = max(math.ceil(self.bounds.share * old), _LEAST_TRIED)
-        return sorted(new, key=_weight)[:count]
+    def _select_new(self, rollout: PoolRollout, new: list[str], old: int) -> list[str]:
+        count = max(math.ceil(self.bounds.share * old), _MIN_NEW_ENDPOINTS)
+        return sorted(new, key=_hash_of)[:count]
 
     def has_new(self, pool: str) -> bool:
-        """Say whether the order's target has endpoints."""
+        """Say whether the target version of the pool's order has endpoints."""
         return bool(self._new_endpoints.get(pool))
 
     # Requests.
@@ -201,18 +222,22 @@
     def pool_for(
         self, pool: str, now_ms: float, first: bool, has_room: Callable[[str], bool]
     ) -> str:
-        """Where routing looks for an endpoint of a request to ``pool``."""
+        """The pool name that routing must use for a request to ``pool``.
+
+        ``first`` says that the request wasn't placed before, ``has_room`` whether a
+        pool can take a request at once.
+        """
         rollout = self.by_pool.get(pool)
         if rollout is None or rollout.phase is not Phase.TRYING or not first:
             return pool
-        if now_ms - rollout.heard_ms > _RULING_PERIODS * self.period_ms():
+        if now_ms - rollout.decided_ms > _DECISION_VALID_PERIODS * self.period_ms():
             return pool
         if self.random.random() >= rollout.share or not has_room(rollout.tried_pool):
             return pool
         return rollout.tried_pool
 
     def may_have(self, endpoint: EndpointRecord) -> bool:
-        """Say whether a request may still be sent to the endpoint."""
+        """Say whether the endpoint may get requests now."""
         rollout = self.by_pool.get(endpoint.pool)
         if rollout is None:
             return True
@@ -222,12 +247,12 @@
         return new or rollout.phase is Phase.TRYING or not self.has_new(endpoint.pool)
 
     def ordered_version(self, endpoint_id: str) -> str:
-        """An endpoint's version, if its pool has an order; empty otherwise."""
+        """The endpoint's version if its pool has an order, else an empty string."""
         if not self.by_pool:
             return ""
         version = self._version_of.get(endpoint_id, "")
         sides = (*self._old_endpoints.values(), *self._new_endpoints.values())
-        return version if any(endpoint_id in each for each in sides) else ""
+        return version if any(endpoint_id in side for side in sides) else ""
 
     def ended(
         self,
@@ -239,60 +264,69 @@
         now_ms: float,
         lost: bool = False,
     ) -> None:
-        """A request ended at an endpoint; ``lost``: with its connection."""
+        """Count the end of a request at an endpoint.
+
+        ``took_ms`` counts if it didn't fail; ``lost`` says that the run was lost with
+        its connection.
+        """
         rollout = self.by_pool.get(pool)
         version = self._version_of.get(endpoint_id)
         if rollout is None or rollout.phase.final or version is None:
             return
-        if lost and not self._is_a_loss(rollout, endpoint_id, now_ms):
+        if lost and not self._is_separate_loss(rollout, endpoint_id, now_ms):
             return
         side = Side.NEW if version == rollout.order.target else Side.OLD
-        key = (row_of(route), side)
+        key = (row_for_route(route), side)
         tally = rollout.tallies.get(key, Tally())
-        rollout.tallies[key] = tally.ended(failed, took_ms)
-
-    def _is_a_loss(self, rollout: PoolRollout, endpoint_id: str, now_ms: float) -> bool:
-        """Say whether the endpoint loses this run by itself, not with others."""
-        before_ms = rollout.lost_ms.get(endpoint_id, -math.inf)
-        if now_ms - before_ms < _ONE_LOSS_MS:
+        rollout.tallies[key] = tally.with_answer(failed, took_ms)
+
+    def _is_separate_loss(
+        self, rollout: PoolRollout, endpoint_id: str, now_ms: float
+    ) -> bool:
+        """Say whether this loss isn't part of one that was just counted."""
+        last_ms = rollout.lost_ms.get(endpoint_id, -math.inf)
+        if now_ms - last_ms < _SAME_CAUSE_MS:
             return False
         rollout.lost_ms[endpoint_id] = now_ms
         return True
 
-    # What members say.
+    # Decisions and reports.
 
     def heard(self, ruling: Ruling, now_ms: float) -> bool:
-        """Take a ruling; True if it changes which endpoints may serve."""
+        """Apply a conductor's decision; True if other endpoints may serve now."""
         rollout = self.by_pool.get(ruling.pool)
-        if rollout is None or not rollout.obeys(ruling):
+        if rollout is None or not rollout.accepts(ruling):
             return False
         rollout.began_ms = min(rollout.began_ms, now_ms - ruling.elapsed_ms)
-        learned = self._learn_in_force(ruling)
+        changed = self._adopt_in_force(ruling)
         if ruling.phase is Phase.TRYING:
-            rollout.share, rollout.heard_ms = ruling.share, now_ms
+            rollout.share, rollout.decided_ms = ruling.share, now_ms
         if ruling.phase.rank <= rollout.phase.rank:
-            return learned
+            return changed
         rollout.phase = ruling.phase
         return True
 
-    def _learn_in_force(self, ruling: Ruling) -> bool:
-        """Who started after an order can only guess what was in force before it."""
-        if ruling.pool not in self._guessed or not ruling.in_force:
+    def _adopt_in_force(self, ruling: Ruling) -> bool:
+        """Replace the versions in force by the decision's, if they were only guessed.
+
+        An instance that started after the order has to guess them.
+        """
+        if ruling.pool not in self._guessed_in_force or not ruling.in_force:
             return False
-        self._guessed.discard(ruling.pool)
+        self._guessed_in_force.discard(ruling.pool)
         self._in_force[ruling.pool] = set(ruling.in_force)
         return True
 
     def known_in_force(self, pool: str) -> tuple[str, ...]:
-        """The versions in force before a pool's order; none if that is a guess."""
-        if pool in self._guessed:
+        """The versions in force before a pool's order; empty if they are a guess."""
+        if pool in self._guessed_in_force:
             return ()
         return tuple(sorted(self._in_force.get(pool, ())))
 
     def report(
         self, pool: str, own: str, old_runs: int, now_ms: float
     ) -> RolloutReport:
-        """What this instance has counted of a pool's roll-out so far."""
+        """This instance's report of a pool's rollout; ``own`` is its address."""
         rollout = self.by_pool[pool]
         return RolloutReport(
             own,
@@ -301,16 +335,16 @@
             rollout.moment,
             rollout.phase,
             now_ms - rollout.began_ms,
-            self.life,
+            self.process_incarnation,
             old_runs,
             tuple(rollout.tallies.items()),
         )
 
     def old_endpoints(self, pool: str) -> list[str]:
-        """The endpoints whose version the order replaces."""
+        """The endpoints of the versions that the order replaces."""
         return self._old_endpoints.get(pool, [])
 
 
-def _weight(endpoint_id: str) -> int:
-    """The same order of endpoints at all instances."""
+def _hash_of(endpoint_id: str) -> int:
+    """A number by which all instances order endpoints alike."""
     return xxhash.xxh64_intdigest(endpoint_id.encode())
--- a/src/coursekeel/canary/_tally.py
+++ b/src/coursekeel/canary/_tally.py
@@ -1,12 +1,12 @@
-"""What was seen of each version's answers, as counters that only grow.
+"""Counts the answers of the old and the new version, in counters that only grow.
 
-Rule: each instance counts its own requests' ends by route and side. A counter belongs
-to one life of one instance, and of two values of it the greater counts, so that a
-message that is repeated, late or out of order changes nothing. Routes share a bounded
-number of rows by hashing, and latencies fall into buckets, so that what an instance
-tells has a bounded size.
+Rule: each instance counts the answers to its own requests by route and side. A counter
+belongs to one incarnation of one instance's process, and the greater of two values
+counts, so that messages may be repeated, delayed or reordered. Routes are hashed to a
+fixed number of rows, and latencies are counted in buckets, so that reports have a
+bounded size.
 
-Owns the counters. A core.
+Owns the counters. Does no I/O.
 """
 
 import math
@@ -17,35 +17,41 @@
 
 from coursekeel.canary._model import Side
 
-__all__ = ["ROUTE_ROWS", "Evidence", "RowKey", "Tally", "latency_bucket", "row_of"]
+__all__ = [
+    "ROUTE_ROWS",
+    "Evidence",
+    "RowKey",
+    "Tally",
+    "latency_bucket",
+    "row_for_route",
+]
 
-# Routes that share a row hide a fault of one of them behind the other; more rows make
-# more datagrams.
+# Routes that share a row may hide each other's faults; more rows need more datagrams.
 ROUTE_ROWS = 8
-# Each bucket is the square root of two wider than the one before; 32 reach a minute.
-_BUCKETS_A_DOUBLING = 2
+# Bounds of buckets grow by the square root of two; the last one begins at 46 s.
+_BUCKETS_PER_DOUBLING = 2
 _LAST_BUCKET = 32
 
 RowKey = tuple[int, Side]
 
 
-def row_of(route: str) -> int:
-    """The row that counts a route's requests."""
+def row_for_route(route: str) -> int:
+    """The number of the row that counts a route's answers."""
     return xxhash.xxh64_intdigest(route.encode()) % ROUTE_ROWS
 
 
 def latency_bucket(took_ms: float) -> int:
-    """The bucket of a latency; a millisecond or less is in the first."""
+    """The bucket of a latency; the first holds those up to a millisecond."""
     if took_ms <= 1:
         return 0
-    return min(math.ceil(_BUCKETS_A_DOUBLING * math.log2(took_ms)), _LAST_BUCKET)
+    return min(math.ceil(_BUCKETS_PER_DOUBLING * math.log2(took_ms)), _LAST_BUCKET)
 
 
 @frozen
 class Tally:
-    """``answers`` came to an end, ``failed`` of them badly.
+    """Counts of all ``answers``, and of those that ``failed``.
 
-    ``latencies`` counts the others by their bucket.
+    ``latencies`` counts the others by bucket (`latency_bucket`).
     """
 
     answers: int = 0
@@ -53,7 +59,7 @@
     latencies: tuple[int, ...] = (0,) * (_LAST_BUCKET + 1)
 
     def plus(self, other: "Tally") -> "Tally":
-        """Both together."""
+        """The sum of both."""
         pairs = zip(self.latencies, other.latencies, strict=True)
         return Tally(
             self.answers + other.answers,
@@ -62,7 +68,7 @@
         )
 
     def minus(self, other: "Tally") -> "Tally":
-        """What came since ``other``."""
+        """The answers since ``other``, an earlier value of the same counters."""
         pairs = zip(self.latencies, other.latencies, strict=True)
         return Tally(
             self.answers - other.answers,
@@ -70,7 +76,7 @@
             tuple(a - b for a, b in pairs),
         )
 
-    def at_least(self, other: "Tally") -> "Tally":
+    def maximum(self, other: "Tally") -> "Tally":
         """The greater of each counter."""
         pairs = zip(self.latencies, other.latencies, strict=True)
         return Tally(
@@ -79,8 +85,8 @@
             tuple(max(a, b) for a, b in pairs),
         )
 
-    def ended(self, failed: bool, took_ms: float) -> "Tally":
-        """One more answer."""
+    def with_answer(self, failed: bool, took_ms: float) -> "Tally":
+        """A copy with one answer more; its latency counts if it didn't fail."""
         if failed:
             return Tally(self.answers + 1, self.failed + 1, self.latencies)
         counts = list(self.latencies)
@@ -88,29 +94,29 @@
         return Tally(self.answers + 1, self.failed, tuple(counts))
 
     def slower_than(self, bucket: int) -> int:
-        """How many took longer than a bucket's."""
+        """The number of good answers in buckets above ``bucket``."""
         return sum(self.latencies[bucket + 1 :])
 
 
 @define
 class Evidence:
-    """All instances' tallies, summed as they come in."""
+    """The sums of all instances' tallies, by row and side."""
 
     totals: dict[RowKey, Tally] = field(factory=dict)
-    _cells: dict[tuple[str, int, RowKey], Tally] = field(factory=dict)
+    _counters: dict[tuple[str, int, RowKey], Tally] = field(factory=dict)
 
-    def take(
-        self, instance: str, life: int, rows: Iterable[tuple[RowKey, Tally]]
+    def update(
+        self, instance: str, incarnation: int, rows: Iterable[tuple[RowKey, Tally]]
     ) -> None:
-        """Take what one life of an instance has counted so far."""
+        """Merge a report; ``incarnation`` is that of the instance's process."""
         for key, tally in rows:
-            cell = (instance, life, key)
-            before = self._cells.get(cell, Tally())
-            after = before.at_least(tally)
-            self._cells[cell] = after
+            counter_id = (instance, incarnation, key)
+            before = self._counters.get(counter_id, Tally())
+            after = before.maximum(tally)
+            self._counters[counter_id] = after
             grown = after.minus(before)
             self.totals[key] = self.totals.get(key, Tally()).plus(grown)
 
     def answers(self, side: Side) -> int:
-        """How many of a side's requests came to an end."""
-        return sum(t.answers for (_, of), t in self.totals.items() if of is side)
+        """The number of a side's answers, failed ones included."""
+        return sum(t.answers for (_, s), t in self.totals.items() if s is side)
--- a/tests/cover/test_canary.py
+++ b/tests/cover/test_canary.py
@@ -238,7 +238,7 @@
     told = [(f"i{i}", life, [(key, tally(count))]) for i, life, count in reports]
     evidence = Evidence()
     for each in random.sample(told * 2, 2 * len(told)):
-        evidence.take(*each)
+        evidence.update(*each)
     greatest: dict[tuple[str, int], int] = {}
     for instance, life, [(_, counted)] in told:
         cell = instance, life
