--- a/tests/common/quarantine_world.py
+++ b/tests/common/quarantine_world.py
@@ -1,7 +1,7 @@
-"""Members that tell each other of suspect requests, on one clock, without sockets.
+"""A simulated group of members that gossip about suspect requests, without sockets.
 
-Datagrams take a moment and may be lost; members are cut off from each other, freeze
-(the kernel keeps nothing for them, the worst that may be), and start anew.
+Datagrams are delayed and may be lost. Members may be partitioned, frozen (datagrams to
+them are then lost) and restarted.
 """
 
 from random import Random
@@ -25,7 +25,7 @@
 
 @define(eq=False)
 class Member:
-    """One instance's view; ``first_tick_ms`` differs, so that none tick together."""
+    """One member; ``first_tick_ms`` is random, so that members don't tick together."""
 
     address: str
     swim: Swim
@@ -39,15 +39,15 @@
     size: int
     seed: int = 1
     loss: float = 0.0
-    way_ms: tuple[float, float] = (1.0, 15.0)
+    latency_range_ms: tuple[float, float] = (1.0, 15.0)
     now_ms: float = 0.0
-    parts: list[set[str]] = field(factory=list)
+    partitions: list[set[str]] = field(factory=list)
     frozen: set[str] = field(factory=set)
     members: dict[str, Member] = field(factory=dict)
     sent_bytes: int = 0
-    largest: int = 0
+    largest_datagram_bytes: int = 0
     random: Random = field(init=False)
-    _way: list[tuple[float, str, str, bytes]] = field(factory=list)
+    _in_flight: list[tuple[float, str, str, bytes]] = field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         self.random = Random(self.seed)
@@ -58,11 +58,11 @@
         return f"10.0.{number // 250}.{number % 250}:7215"
 
     def start(self, number: int) -> Member:
-        """A process starts, or starts again and knows nothing of its earlier life."""
+        """Start a member, without records if it was there before."""
         own = self.address(number)
         random = Random(self.random.random())
         quarantine = Quarantine()
-        seeds = tuple(self.address(each) for each in range(3))
+        seeds = tuple(self.address(seed_number) for seed_number in range(3))
         swim = Swim(
             own,
             ZONES[number % len(ZONES)],
@@ -83,8 +83,8 @@
     def member(self, number: int) -> Member:
         return self.members[self.address(number)]
 
-    def run(self, for_ms: float) -> None:
-        for _ in range(int(for_ms / STEP_MS)):
+    def run(self, duration_ms: float) -> None:
+        for _ in range(int(duration_ms / STEP_MS)):
             self.now_ms += STEP_MS
             self._deliver()
             for member in list(self.members.values()):
@@ -94,21 +94,23 @@
     def _tick(self, member: Member) -> None:
         since_ms = int(self.now_ms) - member.first_tick_ms
         if since_ms >= 0 and since_ms % TICK_MS == 0:
-            for each in member.swim.tick(self.now_ms):
-                self._send(member, each.address, encode_message(each.message))
+            for outgoing in member.swim.tick(self.now_ms):
+                self._send(member, outgoing.address, encode_message(outgoing.message))
 
     def _send(self, sender: Member, address: str, data: bytes) -> None:
         self.sent_bytes += len(data)
-        self.largest = max(self.largest, len(data))
-        parted = any((sender.address in x) != (address in x) for x in self.parts)
-        if parted or self.random.random() < self.loss:
+        self.largest_datagram_bytes = max(self.largest_datagram_bytes, len(data))
+        is_cut = any(
+            (sender.address in part) != (address in part) for part in self.partitions
+        )
+        if is_cut or self.random.random() < self.loss:
             return
-        at_ms = self.now_ms + self.random.uniform(*self.way_ms)
-        self._way.append((at_ms, sender.address, address, data))
+        at_ms = self.now_ms + self.random.uniform(*self.latency_range_ms)
+        self._in_flight.append((at_ms, sender.address, address, data))
 
     def _deliver(self) -> None:
-        due = [each for each in self._way if each[0] <= self.now_ms]
-        self._way = [each for each in self._way if each[0] > self.now_ms]
+        due = [x for x in self._in_flight if x[0] <= self.now_ms]
+        self._in_flight = [x for x in self._in_flight if x[0] > self.now_ms]
         for _, sender, address, data in due:
             member = self.members.get(address)
             if member is not None and address not in self.frozen:
@@ -117,19 +119,19 @@
     def _receive(self, member: Member, sender: str, data: bytes) -> None:
         gossip = member.gossip
         if data.startswith(MARK):
-            told = gossip.received(decode_quarantine(data), self.now_ms)
+            outgoing = gossip.received(decode_quarantine(data), self.now_ms)
         else:
             message = decode_message(data)
-            for each in member.swim.received(message, self.now_ms):
-                self._send(member, each.address, encode_message(each.message))
-            told = gossip.heard_digest(sender, message.suspects)
-        self._tell(member, told)
+            for reply in member.swim.received(message, self.now_ms):
+                self._send(member, reply.address, encode_message(reply.message))
+            outgoing = gossip.heard_digest(sender, message.suspects)
+        self._send_all(member, outgoing)
 
-    def _tell(self, member: Member, told) -> None:
-        for each in told:
-            self._send(member, each.address, encode_quarantine(each.message))
+    def _send_all(self, member: Member, outgoing) -> None:
+        for out in outgoing:
+            self._send(member, out.address, encode_quarantine(out.message))
 
-    # What members learn.
+    # Changes of records.
 
     def strike(self, number: int, fingerprint: str, endpoint: str) -> None:
         member = self.member(number)
@@ -137,10 +139,10 @@
             fingerprint, endpoint, Sign.BEGAN, self.now_ms
         )
         if record is not None:
-            self._tell(member, member.gossip.learned([record], self.now_ms))
+            self._send_all(member, member.gossip.learned([record], self.now_ms))
 
     def bar(self, fingerprint: str, by: int = 0) -> None:
-        """Three endpoints end under a request, a while apart."""
+        """Record three strikes for a request at one member, 100 ms apart."""
         for number in range(3):
             self.strike(by, fingerprint, f"i-{fingerprint}-{number}")
             self.run(100)
@@ -149,12 +151,12 @@
         member = self.member(number)
         record = member.quarantine.proved_sound(fingerprint, self.now_ms)
         if record is not None:
-            self._tell(member, member.gossip.learned([record], self.now_ms))
+            self._send_all(member, member.gossip.learned([record], self.now_ms))
 
-    def unaware(self, fingerprint: str) -> set[str]:
-        """Who would let a request run."""
+    def members_without_verdict(self, fingerprint: str) -> set[str]:
+        """The addresses of members that would send a request."""
         return {
-            each.address
-            for each in self.members.values()
-            if each.quarantine.verdict(fingerprint, self.now_ms) is None
+            member.address
+            for member in self.members.values()
+            if member.quarantine.verdict(fingerprint, self.now_ms) is None
         }
--- a/tests/cover/test_canary.py
+++ b/tests/cover/test_canary.py
@@ -1,4 +1,4 @@
-"""A new version is tried on few requests, judged, and completed or taken back."""
+"""Canary rollouts: which version serves, what is counted, and how it is judged."""
 
 from random import Random
 
@@ -39,7 +39,7 @@
 
 
 class Pool:
-    """One instance's view of one pool, whose list the test writes."""
+    """One instance's rollout of one pool; ``listed`` are the pool's endpoints."""
 
     def __init__(self, **versions: str) -> None:
         self.rollouts = Rollouts(BOUNDS, Random(1), lambda: PERIOD_MS)
@@ -49,46 +49,48 @@
 
     def split(self) -> dict[str, list[str]]:
         pools = {"p": list(self.listed)}
-        found = self.rollouts.split(pools, self.listed.__getitem__)
-        return {pool: sorted(names) for pool, names in found.items()}
+        by_pool = self.rollouts.split(pools, self.listed.__getitem__)
+        return {pool: sorted(names) for pool, names in by_pool.items()}
 
-    def rule(self, phase: Phase, share: float = 0.5, now_ms: float = 0.0) -> None:
+    def decide(self, phase: Phase, share: float = 0.5, now_ms: float = 0.0) -> None:
         ruling = Ruling("i0", "p", "v2", at(7), phase, share, now_ms)
         self.rollouts.heard(ruling, now_ms)
 
-    def chosen(self, now_ms: float, first: bool = True, room: bool = True) -> set[str]:
+    def pools_chosen(
+        self, now_ms: float, first: bool = True, room: bool = True
+    ) -> set[str]:
         return {
             self.rollouts.pool_for("p", now_ms, first, lambda _: room)
             for _ in range(50)
         }
 
 
-# Which version may serve.
+# Versions that may serve.
 
 
-def test_without_an_order_the_versions_of_the_list_serve():
+def test_without_an_order_all_listed_versions_serve():
     pool = Pool(a="v1", b="v1", c="v0")
     assert pool.split() == {"p": ["a", "b", "c"]}
 
 
-def test_a_version_that_appears_waits_until_orders_of_before_it_are_known():
+def test_a_later_version_serves_only_after_all_earlier_orders_were_read():
     pool = Pool(a="v1")
     pool.split()
     pool.rollouts.orders_read(at(5))
     pool.listed["b"] = (record("b", "v2"), at(6))
     assert pool.split() == {"p": ["a"]}
-    assert pool.rollouts.orders_read(at(6)), "it waits for that"
+    assert pool.rollouts.orders_read(at(6)), "an endpoint waits for it"
     assert pool.split() == {"p": ["a", "b"]}
 
 
-def test_a_new_version_gets_nothing_before_its_order_is_read_nor_without_a_ruling():
+def test_a_target_version_gets_no_requests_without_a_decision():
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
     assert pool.split() == {"p": ["a"], "p@v2": ["b"]}
-    assert pool.chosen(0.0) == {"p"}
+    assert pool.pools_chosen(0.0) == {"p"}
 
 
-def test_a_version_that_no_order_names_gets_nothing_beside_one():
+def test_a_version_that_is_not_the_target_waits_while_the_pool_has_an_order():
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
     pool.split()
@@ -96,32 +98,38 @@
     assert pool.split() == {"p": ["a"], "p@v2": ["b"]}
 
 
-def test_a_share_of_new_requests_goes_to_the_new_version_while_rulings_are_heard():
+def test_a_share_of_new_requests_goes_to_the_new_version_while_decisions_are_recent():
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
     pool.split()
-    pool.rule(Phase.TRYING, share=0.5)
-    assert pool.chosen(0.0) == {"p", "p@v2"}
-    assert pool.chosen(0.0, first=False) == {"p"}, "what is sent again goes back"
-    assert pool.chosen(0.0, room=False) == {"p"}, "nothing waits to be tried"
-    assert pool.chosen(3 * PERIOD_MS + 1) == {"p"}, "a verdict may have been missed"
+    pool.decide(Phase.TRYING, share=0.5)
+    assert pool.pools_chosen(0.0) == {"p", "p@v2"}
+    assert pool.pools_chosen(0.0, first=False) == {"p"}, (
+        "a request that is sent again uses the old version"
+    )
+    assert pool.pools_chosen(0.0, room=False) == {"p"}, (
+        "no request waits for room at the new version"
+    )
+    assert pool.pools_chosen(3 * PERIOD_MS + 1) == {"p"}, (
+        "a rollback may have been missed"
+    )
 
 
-def test_a_version_that_is_taken_back_gets_nothing_more():
+def test_a_rolled_back_version_gets_no_more_requests():
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
-    pool.rule(Phase.ROLLED_BACK)
+    pool.decide(Phase.ROLLED_BACK)
     assert pool.split() == {"p": ["a"]}
-    assert pool.chosen(0.0) == {"p"}
+    assert pool.pools_chosen(0.0) == {"p"}
     assert not pool.rollouts.may_have(record("b", "v2"))
-    pool.rule(Phase.TRYING)
-    assert pool.chosen(0.0) == {"p"}, "a late ruling of before changes nothing"
+    pool.decide(Phase.TRYING)
+    assert pool.pools_chosen(0.0) == {"p"}, "a delayed earlier decision changes nothing"
     pool.rollouts.withdrawn([])
     pool.rollouts.orders_read(at(20))
-    assert pool.split() == {"p": ["a"]}, "nor does the end of its order"
+    assert pool.split() == {"p": ["a"]}, "the end of its order changes nothing either"
 
 
-def test_a_version_whose_order_is_taken_away_gets_nothing_until_it_is_ordered_again():
+def test_a_version_whose_order_was_withdrawn_waits_until_it_is_ordered_again():
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
     pool.split()
@@ -132,7 +140,7 @@
     assert pool.split() == {"p": ["a"], "p@v2": ["b"]}
 
 
-def test_an_order_of_the_version_in_force_stops_a_roll_out():
+def test_an_order_of_the_version_in_force_stops_a_rollout():
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
     pool.split()
@@ -141,8 +149,8 @@
     assert all("b" not in names for names in pool.split().values())
 
 
-def test_one_that_starts_during_a_roll_out_learns_which_version_was_in_force():
-    """An order of the version in force stops a roll-out; both versions are listed."""
+def test_an_instance_that_starts_during_a_rollout_learns_which_version_is_in_force():
+    """The order is of the version in force, and so stops a rollout; both are listed."""
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(RolloutOrder("p", "v1", 9_000), at(8), 0.0)
     assert pool.split()["p"] == ["b"], "a guess"
@@ -152,32 +160,34 @@
     assert pool.rollouts.known_in_force("p") == ("v1",)
 
 
-def test_a_guess_is_told_to_nobody():
+def test_guessed_versions_in_force_are_not_reported():
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
     pool.split()
     assert pool.rollouts.known_in_force("p") == ()
 
 
-def test_while_it_closes_and_once_it_is_completed_only_the_new_version_serves():
+def test_only_the_new_version_serves_from_the_closing_phase_on():
     pool = Pool(a="v1", b="v2", c="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
-    pool.rule(Phase.CLOSING)
+    pool.decide(Phase.CLOSING)
     assert pool.split()["p"] == ["b", "c"]
     assert not pool.rollouts.may_have(record("a", "v1"))
-    pool.rule(Phase.COMPLETED)
+    pool.decide(Phase.COMPLETED)
     assert pool.split() == {"p": ["b", "c"]}
     pool.rollouts.withdrawn([])
-    assert pool.split() == {"p": ["b", "c"]}, "old ones stop, though still listed"
+    assert pool.split() == {"p": ["b", "c"]}, (
+        "the old endpoints stop, though they are still listed"
+    )
 
 
-def test_where_no_old_endpoint_is_left_the_new_ones_serve():
+def test_without_old_endpoints_the_new_ones_serve():
     pool = Pool(b="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
     assert pool.split()["p"] == ["b"]
 
 
-def test_the_new_version_is_tried_at_few_endpoints_so_that_each_bears_a_usual_load():
+def test_the_new_version_uses_endpoints_in_proportion_to_its_share():
     old = {f"a{number}": "v1" for number in range(40)}
     new = {f"b{number}": "v2" for number in range(40)}
     pool = Pool(**old, **new)
@@ -187,26 +197,28 @@
     assert len(split["p@v2"]) == 4
 
 
-def test_an_order_that_is_written_again_after_a_restore_is_the_same_one():
+def test_an_order_rewritten_after_a_restore_does_not_begin_again():
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
-    pool.rule(Phase.ROLLED_BACK)
+    pool.decide(Phase.ROLLED_BACK)
     assert pool.rollouts.ordered(ORDER, at(3, era=1), 9_000.0) is None
     assert pool.split() == {"p": ["a"]}
 
 
-def test_another_order_begins_anew():
+def test_another_order_begins_a_new_rollout():
     pool = Pool(a="v1", b="v2", c="v3")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
     pool.split()
     other = RolloutOrder("p", "v3", 12_000)
     assert pool.rollouts.ordered(other, at(9), 5_000.0) is not None
     assert pool.split() == {"p": ["a"], "p@v3": ["c"]}
-    pool.rule(Phase.COMPLETED)
-    assert pool.rollouts.by_pool["p"].phase is Phase.TRYING, "a ruling of before"
+    pool.decide(Phase.COMPLETED)
+    assert pool.rollouts.by_pool["p"].phase is Phase.TRYING, (
+        "a decision on the earlier order"
+    )
 
 
-# What is counted.
+# Counters and messages.
 
 
 def tally(answers: int, failed: int = 0, took_ms: float = 100.0) -> Tally:
@@ -215,15 +227,15 @@
     return Tally(answers, failed, tuple(counts))
 
 
-def test_runs_that_an_endpoint_loses_together_count_as_one():
+def test_runs_lost_together_by_one_endpoint_count_once():
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
     pool.split()
     for now_ms in (0.0, 10.0, 900.0, 1_001.0):
         pool.rollouts.ended("p", "r", "b", True, 0.0, now_ms, lost=True)
     pool.rollouts.ended("p", "r", "b", True, 5.0, 1_002.0)
-    (found,) = pool.rollouts.by_pool["p"].tallies.values()
-    assert (found.answers, found.failed) == (3, 3)
+    (counted,) = pool.rollouts.by_pool["p"].tallies.values()
+    assert (counted.answers, counted.failed) == (3, 3)
 
 
 @given(
@@ -232,17 +244,19 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_reports_that_are_lost_late_or_repeated_change_nothing(reports, random):
-    """Each counter only grows; the greatest of each is what counts."""
+def test_totals_do_not_depend_on_the_order_or_repetition_of_reports(reports, random):
+    """Each counter only grows, so the greatest value that arrived counts."""
     key = (3, Side.NEW)
-    told = [(f"i{i}", life, [(key, tally(count))]) for i, life, count in reports]
+    sent_reports = [
+        (f"i{i}", life, [(key, tally(count))]) for i, life, count in reports
+    ]
     evidence = Evidence()
-    for each in random.sample(told * 2, 2 * len(told)):
+    for each in random.sample(sent_reports * 2, 2 * len(sent_reports)):
         evidence.update(*each)
     greatest: dict[tuple[str, int], int] = {}
-    for instance, life, [(_, counted)] in told:
-        cell = instance, life
-        greatest[cell] = max(greatest.get(cell, 0), counted.answers)
+    for instance, life, [(_, counted)] in sent_reports:
+        counter = instance, life
+        greatest[counter] = max(greatest.get(counter, 0), counted.answers)
     assert evidence.answers(Side.NEW) == sum(greatest.values())
 
 
@@ -250,7 +264,7 @@
     return pool.rollouts.report("p", "10.0.0.9:7", 2, now_ms)
 
 
-def test_messages_come_through_as_they_were_and_fit_datagrams():
+def test_messages_survive_encoding_and_fit_datagrams():
     pool = Pool(a="v1", b="v2")
     pool.rollouts.ordered(ORDER, at(7, era=3), 0.0)
     pool.split()
@@ -261,20 +275,20 @@
         pool.rollouts.ended(
             "p", f"r{number % 50}", endpoint, number % 9 == 0, took_ms, 0
         )
-    whole = report(pool)
+    full_report = report(pool)
     parts = []
-    for data in encode_report("g", whole):
+    for data in encode_report("g", full_report):
         assert len(data) <= MAX_MESSAGE_BYTES
         group, part = decode_rollout(data)
         assert group == "g"
         parts += part.rows
-    assert parts == list(whole.rows)
+    assert parts == list(full_report.rows)
     ruling = Ruling("i0", "p", "v2", at(7, era=3), Phase.CLOSING, 0.25, 1.5, ("v1",))
     assert decode_rollout(encode_ruling("g", ruling)) == ("g", ruling)
 
 
 @given(st.binary(max_size=200))
-def test_whatever_a_stranger_sends_is_read_or_refused(data):
+def test_decoding_arbitrary_bytes_does_not_raise(data):
     assert isinstance(decode_rollout(b"V" + data), UnreadableRollout | tuple)
 
 
@@ -288,83 +302,89 @@
         b'{"row":1,"side":"newer","answers":0,"failed":0}',
     ],
 )
-def test_counters_that_cannot_be_are_refused(row):
+def test_inconsistent_counters_are_refused(row):
     pool = Pool(a="v1")
     pool.rollouts.ordered(ORDER, at(7), 0.0)
     (data,) = encode_report("g", report(pool))
-    spoiled = data.replace(b'"rows":[]', b'"rows":[' + row + b"]")
-    assert spoiled != data
-    assert isinstance(decode_rollout(spoiled), UnreadableRollout)
+    corrupted = data.replace(b'"rows":[]', b'"rows":[' + row + b"]")
+    assert corrupted != data
+    assert isinstance(decode_rollout(corrupted), UnreadableRollout)
 
 
 # The judge.
 
 
-def judged(looks: list[dict]) -> bool:
+def is_condemned(evaluations: list[dict]) -> bool:
     judge, condemned = SequentialJudge(), False
-    for totals in looks:
+    for totals in evaluations:
         condemned = judge.condemns(totals)
     return condemned
 
 
-def growing(old: Tally, new: Tally, looks: int = 10, row: int = 0) -> list[dict]:
-    """The same answers come in at every look."""
-    totals, made = {(row, Side.OLD): Tally(), (row, Side.NEW): Tally()}, []
-    for _ in range(looks):
+def repeated_answers(
+    old: Tally, new: Tally, evaluations: int = 10, row: int = 0
+) -> list[dict]:
+    """The totals at each evaluation, when the same answers are added every time."""
+    totals, history = {(row, Side.OLD): Tally(), (row, Side.NEW): Tally()}, []
+    for _ in range(evaluations):
         totals = {
             (row, Side.OLD): totals[row, Side.OLD].plus(old),
             (row, Side.NEW): totals[row, Side.NEW].plus(new),
         }
-        made.append(totals)
-    return made
+        history.append(totals)
+    return history
 
 
-def test_a_version_that_fails_as_often_as_the_old_one_passes():
-    assert not judged(growing(tally(90, 13), tally(10, 1), looks=40))
+def test_a_version_as_good_as_the_old_one_is_not_condemned():
+    assert not is_condemned(
+        repeated_answers(tally(90, 13), tally(10, 1), evaluations=40)
+    )
 
 
 def test_a_version_that_fails_more_often_is_condemned():
-    assert judged(growing(tally(90, 1), tally(10, 4)))
+    assert is_condemned(repeated_answers(tally(90, 1), tally(10, 4)))
 
 
 def test_a_version_that_is_several_times_slower_is_condemned():
-    assert judged(growing(tally(90), tally(10, took_ms=300)))
-    assert not judged(growing(tally(90), tally(10, took_ms=130), looks=40))
+    assert is_condemned(repeated_answers(tally(90), tally(10, took_ms=300)))
+    assert not is_condemned(
+        repeated_answers(tally(90), tally(10, took_ms=130), evaluations=40)
+    )
 
 
-def test_a_fault_of_the_whole_service_condemns_nobody():
-    calm = growing(tally(90, 1), tally(10, 0))
-    last = calm[-1]
+def test_a_fault_of_both_versions_does_not_condemn_the_new_one():
+    history = repeated_answers(tally(90, 1), tally(10, 0))
+    last = history[-1]
     for _ in range(5):
         last = {
             (0, Side.OLD): last[0, Side.OLD].plus(tally(90, 60)),
             (0, Side.NEW): last[0, Side.NEW].plus(tally(10, 7)),
         }
-        calm.append(last)
-    assert not judged(calm)
+        history.append(last)
+    assert not is_condemned(history)
 
 
-def test_a_fault_that_begins_late_is_seen_as_soon():
-    looks = growing(tally(90, 1), tally(10, 0), looks=100)
-    last = looks[-1]
+def test_a_fault_that_begins_late_is_found_as_quickly():
+    evaluations = repeated_answers(tally(90, 1), tally(10, 0), evaluations=100)
+    last = evaluations[-1]
     for _ in range(6):
         last = {
             (0, Side.OLD): last[0, Side.OLD].plus(tally(90, 1)),
             (0, Side.NEW): last[0, Side.NEW].plus(tally(10, 5)),
         }
-        looks.append(last)
-    assert judged(looks)
+        evaluations.append(last)
+    assert is_condemned(evaluations)
 
 
 # The conductor.
 
 
-def conductor() -> Conductor:
+def make_conductor() -> Conductor:
     return Conductor(ORDER, at(7), BOUNDS, 0.0)
 
 
-def reported(
-    made: Conductor,
+def send_report(
+    conductor: Conductor,
     now_ms: float,
     old: Tally,
     new: Tally,
@@ -373,81 +393,85 @@
     old_runs: int = 0,
 ) -> None:
     rows = (((0, Side.OLD), old), ((0, Side.NEW), new))
-    made.report(
+    conductor.report(
         RolloutReport(sender, "p", "v2", at(7), phase, now_ms, 1, old_runs, rows),
         now_ms,
     )
 
 
-def test_a_good_version_is_completed_by_its_deadline_once_the_old_runs_have_ended():
-    made = conductor()
+def test_a_good_version_is_completed_when_old_runs_have_finished_or_time_is_over():
+    conductor = make_conductor()
     for second in range(8):
         now_ms = second * 1_000.0
-        reported(made, now_ms, tally(90 * second), tally(10 * second))
-        made.look(now_ms, leading=True, has_new=True)
-    assert made.phase is Phase.CLOSING
-    reported(made, 8_000, tally(700), tally(90), Phase.CLOSING, old_runs=2)
-    assert made.wanted(8_000, ["i0"]) is RolloutState.RUNNING
-    reported(made, 9_000, tally(700), tally(90), Phase.CLOSING)
-    assert made.wanted(9_000, ["i0"]) is RolloutState.COMPLETED
-    assert made.wanted(9_000, ["i0", "i1"]) is RolloutState.RUNNING, "i1 said nothing"
-    assert made.wanted(11_500, ["i0", "i1"]) is RolloutState.COMPLETED, "time is over"
-    made.recorded(RolloutState.COMPLETED)
-    assert made.phase is Phase.COMPLETED
-
-
-def test_one_that_does_not_lead_neither_closes_nor_completes_and_still_condemns():
-    made = conductor()
-    made.look(11_900, leading=False, has_new=True)
-    assert made.phase is Phase.TRYING
-    reported(made, 11_950, tally(90), tally(30, 25))
-    made.look(11_960, leading=False, has_new=True)
-    assert made.phase is Phase.ROLLED_BACK
-
-
-def test_a_version_without_endpoints_is_taken_back_at_the_end_of_its_time():
-    made = conductor()
-    made.look(10_000, leading=True, has_new=False)
-    assert made.phase is Phase.TRYING
-    made.look(11_500, leading=True, has_new=False)
-    assert made.phase is Phase.ROLLED_BACK
-    assert made.reason == "no_endpoints"
-
-
-def test_the_first_final_state_that_is_recorded_stands():
-    made = conductor()
-    reported(made, 100, tally(90), tally(30, 25))
-    made.look(100, leading=True, has_new=True)
-    assert made.phase is Phase.ROLLED_BACK
-    made.found(RolloutState.COMPLETED)
-    assert made.phase is Phase.COMPLETED, "the old endpoints have stopped by now"
-    made.found(RolloutState.ROLLED_BACK)
-    assert made.phase is Phase.COMPLETED
-
-
-def test_whoever_takes_over_learns_how_much_time_has_passed():
-    made = Conductor(ORDER, at(7), BOUNDS, began_ms=8_000.0)
+        send_report(conductor, now_ms, tally(90 * second), tally(10 * second))
+        conductor.look(now_ms, leading=True, has_new=True)
+    assert conductor.phase is Phase.CLOSING
+    send_report(conductor, 8_000, tally(700), tally(90), Phase.CLOSING, old_runs=2)
+    assert conductor.wanted(8_000, ["i0"]) is RolloutState.RUNNING
+    send_report(conductor, 9_000, tally(700), tally(90), Phase.CLOSING)
+    assert conductor.wanted(9_000, ["i0"]) is RolloutState.COMPLETED
+    assert conductor.wanted(9_000, ["i0", "i1"]) is RolloutState.RUNNING, (
+        "i1 has sent no report"
+    )
+    assert conductor.wanted(11_500, ["i0", "i1"]) is RolloutState.COMPLETED, (
+        "time is over"
+    )
+    conductor.recorded(RolloutState.COMPLETED)
+    assert conductor.phase is Phase.COMPLETED
+
+
+def test_the_second_conductor_only_rolls_back():
+    conductor = make_conductor()
+    conductor.look(11_900, leading=False, has_new=True)
+    assert conductor.phase is Phase.TRYING
+    send_report(conductor, 11_950, tally(90), tally(30, 25))
+    conductor.look(11_960, leading=False, has_new=True)
+    assert conductor.phase is Phase.ROLLED_BACK
+
+
+def test_a_version_without_endpoints_is_rolled_back_at_the_end_of_its_time():
+    conductor = make_conductor()
+    conductor.look(10_000, leading=True, has_new=False)
+    assert conductor.phase is Phase.TRYING
+    conductor.look(11_500, leading=True, has_new=False)
+    assert conductor.phase is Phase.ROLLED_BACK
+    assert conductor.reason == "no_endpoints"
+
+
+def test_a_recorded_completion_overrides_a_rollback_and_stands():
+    conductor = make_conductor()
+    send_report(conductor, 100, tally(90), tally(30, 25))
+    conductor.look(100, leading=True, has_new=True)
+    assert conductor.phase is Phase.ROLLED_BACK
+    conductor.found(RolloutState.COMPLETED)
+    assert conductor.phase is Phase.COMPLETED, "the old endpoints have stopped by now"
+    conductor.found(RolloutState.ROLLED_BACK)
+    assert conductor.phase is Phase.COMPLETED
+
+
+def test_a_replacing_conductor_learns_the_elapsed_time_from_reports():
+    conductor = Conductor(ORDER, at(7), BOUNDS, began_ms=8_000.0)
     message = RolloutReport("i0", "p", "v2", at(7), Phase.TRYING, 7_500.0, 1, 0, ())
-    made.report(message, 8_100.0)
-    made.look(8_100.0, leading=True, has_new=True)
-    assert made.phase is Phase.CLOSING
+    conductor.report(message, 8_100.0)
+    conductor.look(8_100.0, leading=True, has_new=True)
+    assert conductor.phase is Phase.CLOSING
 
 
 @pytest.mark.parametrize("requests", [0, 6, 200, 1_200, 20_000, 400_000])
-def test_the_share_keeps_the_bound_at_every_moment_with_room_for_luck(requests):
-    """Of all requests that have come by then, though no more may come; what is drawn
-    for passes 3.7 deviations in one of ten thousand."""
-    made = conductor()
+def test_the_share_keeps_the_bound_at_all_times_with_a_margin_for_variation(requests):
+    """The bound applies to the requests so far, at any time. A random number of
+    requests exceeds 3.7 standard deviations with a probability of about 10^-4."""
+    conductor = make_conductor()
     exposed = seen = 0.0
     for tick in range(24):
         now_ms = tick * 500.0
-        made.look(now_ms, leading=True, has_new=True)
-        if made.phase is not Phase.TRYING:
+        conductor.look(now_ms, leading=True, has_new=True)
+        if conductor.phase is not Phase.TRYING:
             break
-        share = made.ruling("i0", now_ms).share
+        share = conductor.ruling("i0", now_ms).share
         seen += requests / 24
         exposed += share * requests / 24
-        luck = 3.7 * exposed**0.5
-        assert exposed + luck <= BOUNDS.share * seen + BOUNDS.slack
-        reported(made, now_ms, tally(int(seen - exposed)), tally(int(exposed)))
-    assert made.phase is Phase.CLOSING
+        margin = 3.7 * exposed**0.5
+        assert exposed + margin <= BOUNDS.share * seen + BOUNDS.slack
+        send_report(conductor, now_ms, tally(int(seen - exposed)), tally(int(exposed)))
+    assert conductor.phase is Phase.CLOSING
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Who is barred because endpoints ended under it, and how it gets back."""
+"""Which requests are barred after crashes of endpoints, and how they are cleared."""
 
 from random import Random
 
@@ -35,7 +35,7 @@
     assert quarantine.verdict("another", 0) is None
 
 
-def test_one_endpoint_told_again_counts_once():
+def test_repeated_strikes_of_one_endpoint_count_once():
     quarantine = Quarantine()
     for number in range(9):
         quarantine.strike("f", f"e{number % 2}", Sign.BEGAN, number * 100)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("sign", [Sign.GAVE, Sign.UNSEEN])
-def test_what_died_beside_the_likelier_one_is_not_barred(sign):
+def test_a_request_with_a_weaker_sign_than_another_is_not_barred(sign):
     quarantine = Quarantine()
     for number in range(9):
         at_ms = number * 100
@@ -53,8 +53,8 @@
     assert quarantine.verdict("beside", 1_000) is None
 
 
-def test_without_a_likelier_one_a_request_that_gave_nothing_is_barred_too():
-    """Servers need not send a head before they end."""
+def test_a_request_without_a_response_head_is_barred_if_no_sign_is_stronger():
+    """A server may crash before it sends a response head."""
     quarantine = Quarantine()
     for number in range(3):
         quarantine.strike("f", f"e{number}", Sign.UNSEEN, number * 100)
@@ -62,9 +62,8 @@
 
 
 @given(st.integers(0, 2**32))
-def test_zones_that_end_at_once_bar_nobody(seed):
-    """A popular request runs at every endpoint of a zone when the zone ends, and at
-    those of another when that does, a second later."""
+def test_a_zone_failure_bars_no_request(seed):
+    """A request runs at every endpoint of two zones, which fail a second apart."""
     random = Random(seed)
     quarantine = Quarantine()
     for zone in range(2):
@@ -74,7 +73,7 @@
     assert quarantine.verdict("popular", 1_100) is None
 
 
-def test_what_is_answered_begins_anew_whatever_is_still_told_of_it():
+def test_a_cleared_request_ignores_records_of_earlier_epochs():
     quarantine = Quarantine()
     bar(quarantine)
     old = quarantine.record("f")
@@ -85,36 +84,36 @@
     assert quarantine.proved_sound("f", 600) is None
 
 
-def test_a_request_nobody_suspects_costs_no_memory_when_it_is_answered():
+def test_clearing_an_unsuspected_request_adds_no_record():
     quarantine = Quarantine()
     assert quarantine.proved_sound("f", 0) is None
     assert len(quarantine) == 0
 
 
-def test_one_that_was_barred_wrongly_is_back_after_a_trial():
+def test_a_successful_trial_clears_the_request():
     quarantine = Quarantine()
     bar(quarantine)
     after_ms = 200 + BAR_MS
     assert isinstance(quarantine.verdict("f", after_ms - 1), Barred)
     assert quarantine.verdict("f", after_ms) == Trial()
-    tried = quarantine.begin_trial("f", after_ms)
+    trial_record = quarantine.begin_trial("f", after_ms)
     assert isinstance(quarantine.verdict("f", after_ms), Barred)
-    assert quarantine.is_trial_valid(tried)
+    assert quarantine.is_trial_valid(trial_record)
     quarantine.proved_sound("f", after_ms + 500)
     assert quarantine.verdict("f", after_ms + 500) is None
 
 
-def test_a_trial_is_over_when_its_endpoint_ends():
+def test_a_crash_ends_the_trial_and_bars_the_request_longer():
     quarantine = Quarantine()
     bar(quarantine)
     at_ms = 200 + BAR_MS
-    tried = quarantine.begin_trial("f", at_ms)
+    trial_record = quarantine.begin_trial("f", at_ms)
     quarantine.strike("f", "e3", Sign.BEGAN, at_ms + 100)
-    assert not quarantine.is_trial_valid(tried)
+    assert not quarantine.is_trial_valid(trial_record)
     assert quarantine.verdict("f", at_ms + 100) == Barred(10 * BAR_MS)
 
 
-def test_a_request_that_ends_its_endpoints_has_three_trials_in_a_day():
+def test_a_request_that_always_crashes_endpoints_gets_three_trials_in_a_day():
     quarantine = Quarantine()
     bar(quarantine)
     now_ms, trials = 0.0, 0
@@ -127,7 +126,7 @@
     assert trials == 3
 
 
-def test_a_suspect_is_forgotten_a_day_after_its_bar():
+def test_a_record_expires_a_day_after_its_bar():
     quarantine = Quarantine()
     quarantine.strike("f", "e0", Sign.BEGAN, 0)
     quarantine.forget(BAR_MS + DAY_MS - 1)
@@ -138,7 +137,7 @@
     assert not quarantine.merge(old, BAR_MS + DAY_MS)
 
 
-def test_a_flood_of_different_requests_leaves_who_is_barred():
+def test_barred_requests_are_not_evicted_by_a_flood_of_suspects():
     quarantine = Quarantine()
     bar(quarantine)
     for number in range(5_000):
@@ -147,12 +146,12 @@
     assert quarantine.verdict("f", 9_000) is not None
 
 
-def test_bars_are_told_to_the_log_once():
+def test_each_change_of_a_bar_adds_one_event():
     quarantine = Quarantine()
     bar(quarantine)
     bar(quarantine)
     quarantine.proved_sound("f", 900)
-    assert [each.barred for each in quarantine.events] == [True, False]
+    assert [event.barred for event in quarantine.events] == [True, False]
     assert quarantine.events[0].endpoint_ids == ("e0", "e1", "e2")
 
 
@@ -172,13 +171,13 @@
         draw(st.integers(0, 2)),
         float(draw(st.integers(0, 500))),
     )
-    for each in draw(st.lists(STRIKES, max_size=15)):
-        record = record.struck(each)
+    for strike in draw(st.lists(STRIKES, max_size=15)):
+        record = record.struck(strike)
     return record
 
 
 @given(records(), records(), records())
-def test_members_that_were_told_the_same_know_the_same_in_any_order(a, b, c):
+def test_merging_records_is_commutative_associative_and_idempotent(a, b, c):
     assert merge_records(a, b).content == merge_records(b, a).content
     assert (
         merge_records(merge_records(a, b), c).content
@@ -188,8 +187,8 @@
 
 
 @given(records(), st.floats(500, 1e6))
-def test_a_record_comes_out_of_a_message_as_it_went_in(record, now_ms):
-    again = record_of(told_of(record, now_ms), now_ms)
-    assert again.content == record.content
-    for one, other in zip(again.strikes, record.strikes, strict=True):
+def test_a_record_survives_conversion_to_its_sent_form_and_back(record, now_ms):
+    converted = record_of(told_of(record, now_ms), now_ms)
+    assert converted.content == record.content
+    for one, other in zip(converted.strikes, record.strikes, strict=True):
         assert abs(one.at_ms - other.at_ms) < 0.2
--- a/tests/cover/test_quarantine_gossip.py
+++ b/tests/cover/test_quarantine_gossip.py
@@ -1,8 +1,7 @@
-"""All members in touch know of a barred request in time, whatever befell them before.
+"""All connected members bar a request in time, also after partitions and pauses.
 
-The bound is `contact-ms` of the users' sites, 3 s: from the third endpoint's end, and
-from the moment at which a member was back in touch. The sum stands in
-docs/design/quarantine.md.
+The bound is 3 s, from the third crash or from the time at which a member is connected
+again (docs/design/quarantine.md).
 """
 
 import pytest
@@ -21,84 +20,84 @@
 SEEDS = range(12)
 
 
-def met(size: int, seed: int = 1, **more) -> QuarantineWorld:
+def converged_world(size: int, seed: int = 1, **more) -> QuarantineWorld:
     world = QuarantineWorld(size, seed, **more)
     world.run(6_000 if size < 20 else 12_000)
-    assert all(len(each.swim.alive()) == size for each in world.members.values())
+    assert all(len(x.swim.alive()) == size for x in world.members.values())
     return world
 
 
 @pytest.mark.parametrize("size", [2, 9, 74])
-def test_all_that_are_in_touch_know_within_moments(size):
-    world = met(size)
+def test_all_connected_members_bar_the_request_at_once(size):
+    world = converged_world(size)
     world.bar("f")
-    assert world.unaware("f") == set()
+    assert world.members_without_verdict("f") == set()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_lost_datagrams_cost_no_bound(seed):
-    world = met(9, seed)
+def test_all_members_bar_in_time_though_datagrams_are_lost(seed):
+    world = converged_world(9, seed)
     world.loss = 0.1
     world.bar("f")
     world.run(CONTACT_MS - 100)
-    assert world.unaware("f") == set()
+    assert world.members_without_verdict("f") == set()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_members_that_each_saw_one_end_bar_together(seed):
-    world = met(9, seed)
+def test_strikes_of_different_members_bar_the_request_together(seed):
+    world = converged_world(9, seed)
     for number in (1, 4, 7):
         world.strike(number, "f", f"e{number}")
         world.run(70)
-    assert world.unaware("f") == set()
+    assert world.members_without_verdict("f") == set()
 
 
 @pytest.mark.parametrize("cut_ms", [500, 3_500, 10_000, 70_000])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_that_was_cut_off_knows_in_time_after_the_cut(seed, cut_ms):
-    world = met(9, seed)
-    alone = seed % 9
-    world.parts = [{world.address(alone)}]
-    world.bar("f", by=(alone + 1) % 9)
+def test_an_isolated_member_bars_in_time_after_the_partition_heals(seed, cut_ms):
+    world = converged_world(9, seed)
+    isolated = seed % 9
+    world.partitions = [{world.address(isolated)}]
+    world.bar("f", by=(isolated + 1) % 9)
     world.run(cut_ms)
-    world.parts = []
+    world.partitions = []
     world.run(CONTACT_MS)
-    assert world.unaware("f") == set()
+    assert world.members_without_verdict("f") == set()
 
 
-@pytest.mark.parametrize(("size", "half"), [(3, 1), (4, 2), (9, 4), (9, 3)])
+@pytest.mark.parametrize(("size", "part_size"), [(3, 1), (4, 2), (9, 4), (9, 3)])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_halves_know_in_time_after_they_were_parted(seed, size, half):
-    """Each half saw too few ends to bar the request by itself."""
-    world = met(size, seed)
-    world.parts = [{world.address(n) for n in range(half)}]
+def test_both_sides_of_a_partition_bar_in_time_after_it_heals(seed, size, part_size):
+    """Each side has too few strikes to bar the request by itself."""
+    world = converged_world(size, seed)
+    world.partitions = [{world.address(n) for n in range(part_size)}]
     world.strike(0, "f", "e0")
     world.run(300)
     world.strike(size - 1, "f", "e1")
     world.run(300)
     world.strike(size - 1, "f", "e2")
     world.run(15_000)
-    assert len(world.unaware("f")) == size
-    world.parts = []
+    assert len(world.members_without_verdict("f")) == size
+    world.partitions = []
     world.run(CONTACT_MS)
-    assert world.unaware("f") == set()
+    assert world.members_without_verdict("f") == set()
 
 
 @pytest.mark.parametrize("frozen_ms", [500, 5_000, 30_000])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_that_was_frozen_knows_in_time_after_it_wakes(seed, frozen_ms):
-    world = met(9, seed)
+def test_a_frozen_member_bars_in_time_after_it_resumes(seed, frozen_ms):
+    world = converged_world(9, seed)
     world.frozen = {world.address(5)}
     world.bar("f")
     world.run(frozen_ms)
     world.frozen = set()
     world.run(CONTACT_MS)
-    assert world.unaware("f") == set()
+    assert world.members_without_verdict("f") == set()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_that_starts_knows_in_time_though_seeds_are_down(seed):
-    world = met(9, seed)
+def test_a_starting_member_bars_in_time_though_two_seeds_are_down(seed):
+    world = converged_world(9, seed)
     world.stop(0)
     world.stop(1)
     world.bar("f", by=4)
@@ -106,64 +105,64 @@
     world.start(0)
     world.start(9)
     world.run(CONTACT_MS)
-    assert world.unaware("f") == set()
+    assert world.members_without_verdict("f") == set()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_all_know_when_a_request_is_proved_sound(seed):
-    world = met(9, seed)
+def test_all_members_clear_a_request_that_one_member_cleared(seed):
+    world = converged_world(9, seed)
     world.bar("f")
     world.prove_sound(6, "f")
     world.run(100)
-    assert len(world.unaware("f")) == 9
+    assert len(world.members_without_verdict("f")) == 9
 
 
-def test_members_that_know_the_same_send_nothing_for_it():
-    quiet, knowing = met(9), met(9)
-    knowing.bar("f")
+def test_members_in_sync_send_no_quarantine_messages():
+    quiet, synced = converged_world(9), converged_world(9)
+    synced.bar("f")
     quiet.run(300)
-    for world in (quiet, knowing):
+    for world in (quiet, synced):
         world.run(2_000)
         world.sent_bytes = 0
         world.run(20_000)
-    assert knowing.sent_bytes < 1.02 * quiet.sent_bytes
+    assert synced.sent_bytes < 1.02 * quiet.sent_bytes
 
 
-def test_a_flood_of_suspects_costs_a_bounded_number_of_bytes():
-    """Endpoints end with 30 requests each, one a second, more than is remembered."""
-    world = met(9)
+def test_a_flood_of_suspects_sends_a_bounded_number_of_bytes():
+    """Each second an endpoint crashes with 30 requests, more in all than are kept."""
+    world = converged_world(9)
     world.sent_bytes = 0
     for number in range(20):
-        for each in range(30):
-            world.strike(number % 9, f"f{number}-{each}", f"e{number}")
+        for request in range(30):
+            world.strike(number % 9, f"f{number}-{request}", f"e{number}")
         world.run(1_000)
     world.run(5_000)
-    assert len({each.quarantine.digest for each in world.members.values()}) == 1
-    assert world.largest <= 1_400
+    assert len({x.quarantine.digest for x in world.members.values()}) == 1
+    assert world.largest_datagram_bytes <= 1_400
     assert world.sent_bytes / 9 / 25 < 60_000
 
 
-def test_a_stranger_teaches_nothing_and_makes_nobody_flood_another():
-    world = met(3)
+def test_an_unknown_sender_changes_nothing_and_cannot_amplify_traffic():
+    world = converged_world(3)
     world.bar("f")
     gossip = world.member(0).gossip
-    taught = encode_quarantine(
+    news_data = encode_quarantine(
         QuarantineMessage("g", QuarantineKind.NEWS, "10.9.9.9:1", "d")
     )
-    assert gossip.received(decode_quarantine(taught), world.now_ms) == []
+    assert gossip.received(decode_quarantine(news_data), world.now_ms) == []
     take = QuarantineMessage("g", QuarantineKind.TAKE, "10.9.9.9:1", "d", token=5)
     assert gossip.received(take, world.now_ms) == []
     offers = gossip.heard_digest("10.9.9.9:1", "another")
-    assert sum(len(encode_quarantine(each.message)) for each in offers) < 200
+    assert sum(len(encode_quarantine(offer.message)) for offer in offers) < 200
 
 
-def test_however_long_a_sites_ids_are_all_know():
-    world = met(9)
+def test_records_with_long_endpoint_ids_reach_all_members():
+    world = converged_world(9)
     for number in range(14):
         world.strike(0, "f" * 24, f"{number}" * 100)
         world.run(100)
-    assert world.unaware("f" * 24) == set()
-    assert world.largest <= 1_400
+    assert world.members_without_verdict("f" * 24) == set()
+    assert world.largest_datagram_bytes <= 1_400
 
 
 @pytest.mark.parametrize(
@@ -181,29 +180,21 @@
         b"Q" + b"x" * 1_400,
     ],
 )
-def test_what_cannot_be_read_is_a_value(data):
+def test_an_invalid_datagram_is_decoded_as_unreadable(data):
     assert isinstance(decode_quarantine(data), UnreadableQuarantine)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_that_stops_tells_and_hears_of_requests_while_it_still_serves(seed):
-    """Callers were refused what is sound, and engines ended again under what is not.
-
-    1. An instance is told to stop, says goodbye, and serves what it has for seconds.
-    2. Endpoints end under a request there: its word on them is believed by nobody, and
-       the request ends as many again at the others.
-    3. What the others learn doesn't reach it, so that it bars what died beside.
-
-    Cause: one that had said goodbye counted as a stranger, neither heard nor told.
-    Evidence: the logs of a soak, in which the stopping instance alone barred the
-    request after its third endpoint, and the others after three more.
+def test_a_leaving_member_still_sends_and_receives_records(seed):
+    """Guards against a member that has left the group but still finishes its requests
+    being ignored: its strikes must reach the others, and theirs must reach it.
     """
-    world = met(9, seed)
+    world = converged_world(9, seed)
     stopping = world.member(seed % 9)
-    for each in stopping.swim.leave():
-        world._send(stopping, each.address, encode_message(each.message))
+    for goodbye in stopping.swim.leave():
+        world._send(stopping, goodbye.address, encode_message(goodbye.message))
     world.run(1_500)
     world.bar("f", by=seed % 9)
-    assert world.unaware("f") == set()
+    assert world.members_without_verdict("f") == set()
     world.bar("g", by=(seed + 1) % 9)
-    assert world.unaware("g") == set()
+    assert world.members_without_verdict("g") == set()
--- a/tests/cover/test_suspect_keeper.py
+++ b/tests/cover/test_suspect_keeper.py
@@ -1,4 +1,4 @@
-"""What bars a request is kept in the store, and what was kept counts by its age."""
+"""The rows of barred requests are stored, and read by their age after a restart."""
 
 from unittest.mock import Mock
 
@@ -19,7 +19,7 @@
 
 @define(eq=False)
 class ScriptedTable(SuspectTable):
-    """The store's table; its clock and the instances' run alike from other moments."""
+    """A table in memory; its clock is ahead of the instances' by a constant offset."""
 
     reactor: FakeReactor
     rows: dict[str, bytes] = field(factory=dict)
@@ -41,13 +41,13 @@
         if self.away:
             return TableFailed("away")
         self.rows |= kept
-        for each in gone:
-            self.rows.pop(each, None)
+        for fingerprint in gone:
+            self.rows.pop(fingerprint, None)
         return None
 
 
-class Kept:
-    """One instance's life; the next one begins later, with the same table."""
+class KeeperInstance:
+    """One incarnation of an instance, with its own clock; the table is shared."""
 
     def __init__(self, table: ScriptedTable) -> None:
         self.table, self.reactor = table, table.reactor
@@ -58,11 +58,11 @@
         self.keeper = SuspectKeeper(self.reactor, clock, table, self.quarantine, 1_000)
         self.keeper.start()
 
-    def learn(self, record) -> None:
+    def apply(self, record) -> None:
         if record is not None:
             self.keeper.touched(record.fingerprint)
-        for each in self.quarantine.events:
-            self.keeper.changed(each)
+        for event in self.quarantine.events:
+            self.keeper.changed(event)
         self.quarantine.events.clear()
 
     def bar(self, fingerprint: str = "f") -> None:
@@ -71,7 +71,7 @@
             struck = self.quarantine.strike(
                 fingerprint, f"e{number}", Sign.BEGAN, at_ms
             )
-            self.learn(struck)
+            self.apply(struck)
             self.reactor.advance(0.1)
 
     def verdict(self, fingerprint: str = "f"):
@@ -85,42 +85,42 @@
     return ScriptedTable(reactor)
 
 
-def test_a_bar_outlasts_the_instance_and_goes_on_by_its_age(table):
-    Kept(table).bar()
+def test_a_bar_survives_a_restart_and_keeps_its_end(table):
+    KeeperInstance(table).bar()
     table.reactor.advance(30)
-    again = Kept(table).verdict()
-    assert isinstance(again, Barred)
-    assert again.remaining_ms == pytest.approx(120_000 - 30_000, abs=500)
+    restarted = KeeperInstance(table).verdict()
+    assert isinstance(restarted, Barred)
+    assert restarted.remaining_ms == pytest.approx(120_000 - 30_000, abs=500)
 
 
-def test_a_bar_that_is_over_meanwhile_is_a_trials(table):
-    Kept(table).bar()
+def test_a_bar_that_ended_during_a_restart_allows_a_trial(table):
+    KeeperInstance(table).bar()
     table.reactor.advance(130)
-    assert Kept(table).verdict() == Trial()
+    assert KeeperInstance(table).verdict() == Trial()
 
 
-def test_what_does_not_bar_is_not_written(table):
-    one = Kept(table)
+def test_a_record_that_bars_nothing_is_not_written(table):
+    running = KeeperInstance(table)
     calls = table.calls
-    one.learn(one.quarantine.strike("f", "e0", Sign.BEGAN, one.now_ms()))
-    one.learn(one.quarantine.proved_sound("f", one.now_ms()))
+    running.apply(running.quarantine.strike("f", "e0", Sign.BEGAN, running.now_ms()))
+    running.apply(running.quarantine.proved_sound("f", running.now_ms()))
     table.reactor.pump([0.5] * 10)
     assert table.calls == calls
 
 
-def test_what_is_proved_sound_is_removed(table):
-    one = Kept(table)
-    one.bar()
+def test_the_row_of_a_cleared_request_is_removed(table):
+    running = KeeperInstance(table)
+    running.bar()
     assert list(table.rows) == ["f"]
-    one.learn(one.quarantine.proved_sound("f", one.now_ms()))
+    running.apply(running.quarantine.proved_sound("f", running.now_ms()))
     table.reactor.pump([0.5] * 3)
     assert table.rows == {}
 
 
-def test_while_the_store_is_away_it_is_asked_again_until_all_is_written(table):
+def test_writes_are_retried_until_the_store_is_available(table):
     table.away = True
-    one = Kept(table)
-    one.bar()
+    running = KeeperInstance(table)
+    running.bar()
     table.reactor.pump([0.5] * 10)
     assert table.rows == {}
     table.away = False
@@ -131,33 +131,33 @@
     assert table.calls == calls
 
 
-def test_each_of_many_rows_is_written(table):
-    one = Kept(table)
+def test_more_rows_than_one_call_holds_are_written(table):
+    running = KeeperInstance(table)
     table.away = True
     for number in range(120):
-        one.bar(f"f{number}")
+        running.bar(f"f{number}")
     table.away = False
     table.reactor.pump([0.5] * 10)
     assert len(table.rows) == 120
 
 
 @pytest.mark.parametrize("row", [b"", b"{}", b"[1]", b"\xff"])
-def test_a_row_that_cannot_be_read_is_removed_and_hides_no_other(table, row):
-    Kept(table).bar()
+def test_an_invalid_row_is_removed_and_the_others_are_read(table, row):
+    KeeperInstance(table).bar()
     table.rows["a"] = row
-    again = Kept(table)
+    restarted = KeeperInstance(table)
     table.reactor.pump([0.5] * 3)
-    assert isinstance(again.verdict(), Barred)
+    assert isinstance(restarted.verdict(), Barred)
     assert list(table.rows) == ["f"]
 
 
-def test_rows_that_a_restored_store_forgot_are_written_again():
-    """By who saw the endpoints end, and by one of all for those whose writer died."""
+def test_rows_missing_after_a_restore_of_the_store_are_written_again():
+    """Once by the instance that recorded the strikes, once by the chosen member."""
     table = ScriptedTable(FakeReactor())
-    writer = Kept(table)
+    writer = KeeperInstance(table)
     writer.bar("seen")
     writer.reactor.advance(2)
-    other = Kept(table)
+    other = KeeperInstance(table)
     other.reactor.advance(1)
     assert other.quarantine.is_barred("seen")
     table.rows.clear()
@@ -168,6 +168,6 @@
     writer.reactor.advance(2)
     assert list(table.rows) == ["seen"]
     table.rows.clear()
-    other.keeper.store_restored(lambda each: each == "seen")
+    other.keeper.store_restored(lambda fingerprint: fingerprint == "seen")
     other.reactor.advance(2)
     assert list(table.rows) == ["seen"]
