--- a/src/coursekeel/canary/_rollouts.py
+++ b/src/coursekeel/canary/_rollouts.py
@@ -112,11 +112,11 @@
             if same or moment <= known.moment:
                 known.moment = max(known.moment, moment)
                 return None
-        begun = PoolRollout(order, moment, now_ms)
-        self.by_pool[order.pool] = begun
+        rollout = PoolRollout(order, moment, now_ms)
+        self.by_pool[order.pool] = rollout
         self._in_force.setdefault(order.pool, set())
         self._withdrawn_versions.get(order.pool, set()).discard(order.target)
-        return begun
+        return rollout
 
     def withdrawn(self, kept: Iterable[str]) -> None:
         """Withdraw the orders of all pools but those in ``kept``."""
--- a/src/coursekeel/quarantine/_quarantine.py
+++ b/src/coursekeel/quarantine/_quarantine.py
@@ -29,7 +29,7 @@
 # A request may crash two endpoints before it is barred.
 _STRIKES_TO_BAR = 3
 # Strikes that follow each other within this time have one cause: the resets of one
-# failure are seen within tens of ms, and a request that is sent again takes longer.
+# failure are seen within tens of ms, and a repeated request usually takes longer.
 _SAME_CAUSE_MS = 30.0
 # Each trial multiplies the bar: trials are after 2 and 22 minutes, 3.7 and 37 hours.
 _FIRST_BAR_MS = 120_000.0
