--- a/src/coursekeel/answers/__init__.py
+++ b/src/coursekeel/answers/__init__.py
@@ -1,4 +1,4 @@
-"""One generation: its ledger, its attempts, and how it goes on after a loss."""
+"""One generation: its ledger, its attempts, its journal and its recovery."""
 
 from coursekeel.answers._answer import AnswerCore, PieceLedger
 from coursekeel.answers._attempt import Attempt, Expected
--- a/src/coursekeel/answers/_answer.py
+++ b/src/coursekeel/answers/_answer.py
@@ -1,11 +1,11 @@
-"""The life of one answer: a deterministic core without clock or sockets.
+"""State of one answer: a deterministic core without clock or sockets.
 
-The shell calls `AnswerCore.handle` with each event and the present time, and carries
-out the actions it gets back. Two attempts may run at once; whichever extends the
-ledger first stays, and nothing the other sends later is taken, because its
-continuation is conditioned on a sequence that is no longer the answer's.
+The shell calls `AnswerCore.handle` with each event and the current time, and carries
+out the returned actions. Two attempts may run at once. The one that extends the ledger
+first is kept; all later tokens of the other are refused, because it generated them
+after a different sequence.
 
-Owns the answer's state and its ledger. Relies on `Recovery` for what follows a loss.
+Owns the answer's state and its ledger. Relies on `Recovery` after a lost attempt.
 """
 
 from typing import Any, Generic, Protocol, TypeVar
@@ -42,27 +42,27 @@
 
 __all__ = ["AnswerCore", "PieceLedger"]
 
-_ENDED = ("finished", "interrupted", "cancelled", "fenced")
+_FINAL_STATES = ("finished", "interrupted", "cancelled", "fenced")
 
 
 class PieceLedger(Protocol):
-    """What an answer is kept in: tokens, or events that carry their own number."""
+    """Stores the pieces of an answer: tokens, or events that carry their own number."""
 
     @property
     def next_position(self) -> int:
-        """Where the next piece stands."""
+        """The position of the next piece."""
 
     def offer(self, position: int, tokens: list[int], texts: list[Any]) -> Offer:
-        """Take the pieces that stand at ``position`` and after, each once."""
+        """Append those pieces, from ``position`` on, that aren't held yet."""
 
 
 _LedgerT = TypeVar("_LedgerT", bound=PieceLedger)
 
 
 class AnswerCore(Generic[_LedgerT]):
-    """Decides what happens to one answer.
+    """Handles the events of one answer.
 
-    ``label`` is the answer's identity, ``team/request_id``; engines echo it with the
+    ``label`` identifies the answer, as ``team/request_id``; engines echo it with the
     attempt's number.
     """
 
@@ -86,54 +86,54 @@
 
     @property
     def state(self) -> str:
-        """Where the answer stands in its chart."""
+        """The answer's state, as its chart names it."""
         return self._machine.state
 
     @property
     def ended(self) -> bool:
-        """Say whether nothing more will come."""
-        return self._machine.state in _ENDED
+        """Whether the answer is in a final state."""
+        return self._machine.state in _FINAL_STATES
 
     @property
     def run_state(self) -> RunState:
-        """What may truthfully be said of whether the request was run."""
+        """Whether the request ran, as far as can be guaranteed."""
         return self.recovery.run_state
 
     @property
     def bad_endpoints(self) -> frozenset[str]:
-        """Endpoints that lost a run of this answer, or wouldn't take one."""
+        """Endpoints that lost or refused a run since the answer's last progress."""
         return frozenset(self.recovery.bad_endpoints)
 
     def handle(self, event: Event, now_ms: float) -> list[Action]:
-        """Take one event and say what is to be done."""
+        """Handle one event and return the actions for the shell, in order."""
         if self.ended:
-            return self._after_the_end(event)
+            return self._handle_after_end(event)
         match event:
             case TokensArrived():
-                return self._tokens(event, now_ms)
+                return self._handle_tokens(event, now_ms)
             case HeadArrived():
-                return self._head(event, now_ms)
+                return self._handle_head(event, now_ms)
             case FinishArrived():
-                return self._finish(event, now_ms)
+                return self._handle_finish(event, now_ms)
             case AttemptEnded():
-                return self._attempt_ended(event, now_ms)
+                return self._handle_attempt_ended(event, now_ms)
             case EndpointSilent():
-                return self._endpoint_silent(event, now_ms)
+                return self._handle_endpoint_silent(event, now_ms)
             case Tick():
-                return self.recovery.tick(now_ms)
+                return self.recovery.handle_alarm(now_ms)
             case ReadingResumed():
-                return self._reading_resumed(now_ms)
+                return self._handle_reading_resumed(now_ms)
             case Granted():
-                return self.recovery.granted(event.endpoint_id, now_ms)
+                return self.recovery.use_endpoint(event.endpoint_id, now_ms)
             case CopyPlaced():
-                self._attempts.known(event.attempt).copy_id = event.endpoint_id
+                self._attempts.get(event.attempt).copy_id = event.endpoint_id
                 return []
             case NothingFree():
                 self._machine.feed("nothing_free")
                 self.recovery.retry_after_ms = event.retry_after_ms
                 return []
             case Started():
-                return self._start(event, now_ms)
+                return self._handle_started(event, now_ms)
             case Fenced():
                 self._machine.feed("fenced")
                 return [*self._attempts.cancel_all(stops_run=False), StopWork()]
@@ -142,20 +142,20 @@
                 return [*self._attempts.cancel_all(), StopWork()]
 
     def withdraw(self) -> None:
-        """Routing refused the request, which never ran."""
+        """End the answer because routing refused the request before it ran."""
         self._machine.feed("patience_over")
 
-    def _after_the_end(self, event: Event) -> list[Action]:
-        """A head that comes too late must not leave a run behind."""
+    def _handle_after_end(self, event: Event) -> list[Action]:
+        """Cancel a run whose head arrives after the answer has ended."""
         if isinstance(event, HeadArrived):
             return [CancelAttempt(event.attempt)]
         return []
 
-    def _start(self, event: Started, now_ms: float) -> list[Action]:
-        """Look for an endpoint, or take up the run that a journal last spoke of."""
-        self.recovery.begin(now_ms)
+    def _handle_started(self, event: Started, now_ms: float) -> list[Action]:
+        """Request an endpoint, or read the run again that the journal names."""
+        self.recovery.start_waiting(now_ms)
         if not event.run_id:
-            return [*self.recovery.seek(), self.recovery.alarm()]
+            return [*self.recovery.request_endpoint(), self.recovery.next_alarm()]
         self._machine.feed("granted")
         position = self.ledger.next_position
         attempt = self._attempts.new(
@@ -163,85 +163,87 @@
         )
         attempt.run_id = event.run_id
         attempt.label = event.label or attempt.label
-        return self.recovery.open(attempt)
+        return self.recovery.open_attempt(attempt)
 
-    # What an attempt gives.
+    # Events of an attempt's stream.
 
-    def _head(self, event: HeadArrived, now_ms: float) -> list[Action]:
-        attempt = self._attempts.known(event.attempt)
+    def _handle_head(self, event: HeadArrived, now_ms: float) -> list[Action]:
+        attempt = self._attempts.get(event.attempt)
         if not attempt.live:
             return [CancelAttempt(attempt.number)]
         if attempt.streaming:
-            # A second head: the stream goes on with somebody else's answer.
-            return self.recovery.drop(attempt, now_ms)
-        attempt.heard_ms = now_ms
+            # A second head means that the connection now carries another answer.
+            return self.recovery.drop_attempt(attempt, now_ms)
+        attempt.last_received_ms = now_ms
         if attempt.accept_head(event.head, self.expected):
             return []
-        return self.recovery.rejected(attempt, now_ms)
+        return self.recovery.replace_rejected(attempt, now_ms)
 
-    def _tokens(self, event: TokensArrived, now_ms: float) -> list[Action]:
-        attempt = self._attempts.known(event.attempt)
+    def _handle_tokens(self, event: TokensArrived, now_ms: float) -> list[Action]:
+        attempt = self._attempts.get(event.attempt)
         if not attempt.live:
             return []
         if not attempt.streaming or event.run_id != attempt.run_id:
-            return self.recovery.drop(attempt, now_ms)
-        attempt.heard_ms = now_ms
-        attempt.doubted = False
+            return self.recovery.drop_attempt(attempt, now_ms)
+        attempt.last_received_ms = now_ms
+        attempt.suspected = False
         offer = self.ledger.offer(event.position, event.tokens, event.texts)
         match offer.kind:
             case OfferKind.EXTENDED:
-                return self._extended(attempt, now_ms)
+                return self._handle_extension(attempt, now_ms)
             case OfferKind.REPEATED:
                 return []
             case OfferKind.GAP:
-                return self.recovery.reread(attempt, now_ms)
+                return self.recovery.reread_run(attempt, now_ms)
             case OfferKind.DIVERGED:
-                return self.recovery.drop(attempt, now_ms)
+                return self.recovery.drop_attempt(attempt, now_ms)
 
-    def _extended(self, winner: Attempt, now_ms: float) -> list[Action]:
+    def _handle_extension(self, winner: Attempt, now_ms: float) -> list[Action]:
         actions: list[Action] = [Deliver(self.ledger.next_position)]
-        if winner.progressed_ms is None:
-            winner.progressed_ms = now_ms
-            # The alarm that is set is for the first piece, which may take long.
-            actions.append(self.recovery.alarm())
-        self.recovery.progressed(now_ms - winner.progressed_ms)
+        if winner.first_piece_ms is None:
+            winner.first_piece_ms = now_ms
+            # The alarm was set with the longer timeout of the first piece.
+            actions.append(self.recovery.next_alarm())
+        self.recovery.record_progress(now_ms - winner.first_piece_ms)
         if len(self._attempts) > 1:
             actions += self._attempts.cancel_others(winner)
         return actions
 
-    def _finish(self, event: FinishArrived, now_ms: float) -> list[Action]:
-        attempt = self._attempts.known(event.attempt)
+    def _handle_finish(self, event: FinishArrived, now_ms: float) -> list[Action]:
+        attempt = self._attempts.get(event.attempt)
         if not attempt.streaming:
             return []
         if event.run_id != attempt.run_id:
-            return self.recovery.drop(attempt, now_ms)
+            return self.recovery.drop_attempt(attempt, now_ms)
         if event.position > self.ledger.next_position:
-            return self.recovery.reread(attempt, now_ms)
+            return self.recovery.reread_run(attempt, now_ms)
         if event.position < self.ledger.next_position:
-            return self.recovery.drop(attempt, now_ms)
+            return self.recovery.drop_attempt(attempt, now_ms)
         attempt.machine.feed("finished")
         self._machine.feed("finished")
         self.finish_reason = event.reason
         return [*self._attempts.cancel_all(), Complete(event.reason)]
 
-    def _attempt_ended(self, event: AttemptEnded, now_ms: float) -> list[Action]:
-        attempt = self._attempts.known(event.attempt)
+    def _handle_attempt_ended(self, event: AttemptEnded, now_ms: float) -> list[Action]:
+        attempt = self._attempts.get(event.attempt)
         if not attempt.live:
             return []
-        return self.recovery.ended(attempt, event.loss, now_ms)
+        return self.recovery.handle_loss(attempt, event.loss, now_ms)
 
-    # Silence.
+    # Stalled endpoints.
 
-    def _endpoint_silent(self, event: EndpointSilent, now_ms: float) -> list[Action]:
-        silent = [
-            each
-            for each in self._attempts.live
-            if each.endpoint_id == event.endpoint_id and not each.doubted
+    def _handle_endpoint_silent(
+        self, event: EndpointSilent, now_ms: float
+    ) -> list[Action]:
+        stalled = [
+            attempt
+            for attempt in self._attempts.live
+            if attempt.endpoint_id == event.endpoint_id and not attempt.suspected
         ]
-        doubt = self.recovery.doubt
-        return [action for each in silent for action in doubt(each, now_ms)]
+        suspect = self.recovery.suspect
+        return [action for attempt in stalled for action in suspect(attempt, now_ms)]
 
-    def _reading_resumed(self, now_ms: float) -> list[Action]:
-        for each in self._attempts.live:
-            each.heard_ms = now_ms
-        return [self.recovery.alarm()]
+    def _handle_reading_resumed(self, now_ms: float) -> list[Action]:
+        for attempt in self._attempts.live:
+            attempt.last_received_ms = now_ms
+        return [self.recovery.next_alarm()]
--- a/src/coursekeel/answers/_attempt.py
+++ b/src/coursekeel/answers/_attempt.py
@@ -1,4 +1,4 @@
-"""One run on one endpoint that extends a generation from a position."""
+"""An attempt: one run on one endpoint that extends a generation from a position."""
 
 from attrs import define, field
 
@@ -10,14 +10,14 @@
 
 @define(frozen=True)
 class Expected:
-    """What a stream must say of itself before its tokens are taken."""
+    """The model that a stream's head must name before its tokens are accepted."""
 
     model: str
     adapter: str
     version: str
 
     def matches(self, head: StreamHead) -> bool:
-        """Say whether the stream is served by exactly this model."""
+        """Return whether the stream is served by exactly this model."""
         return (head.model, head.adapter, head.version) == (
             self.model,
             self.adapter,
@@ -27,13 +27,13 @@
 
 @define(eq=False)
 class Attempt:
-    """Book-keeping of one attempt; its chart says what may still come of it.
+    """State of one attempt.
 
-    ``label`` is what the engine must echo, so that a stream that belongs to another
-    request is refused before its first token. ``copy_id`` names the endpoint that
-    keeps a copy of the run's memory, empty if none does. ``may_have_run`` is false once
-    the attempt ended in a way that proves it never ran. ``progressed_ms`` is when its
-    first piece came.
+    The engine must echo ``label``, so that a stream of another request is refused
+    before its first token. ``copy_id`` is the endpoint that keeps a copy of the run's
+    KV cache, empty if none does. ``may_have_run`` is false once the attempt ended in a
+    way that proves it never ran. ``opened_ms``, ``last_received_ms`` and
+    ``first_piece_ms`` are times of the caller's clock.
     """
 
     number: int
@@ -44,32 +44,35 @@
     opened_ms: float
     run_id: str = ""
     copy_id: str = ""
-    heard_ms: float = field(init=False)
-    progressed_ms: float | None = None
-    doubted: bool = False
+    last_received_ms: float = field(init=False)
+    first_piece_ms: float | None = None
+    suspected: bool = False
     may_have_run: bool = True
     machine: Machine = field(factory=lambda: load_chart("attempt").machine())
 
     def __attrs_post_init__(self) -> None:
-        self.heard_ms = self.opened_ms
+        self.last_received_ms = self.opened_ms
 
     @property
-    def progressed(self) -> bool:
-        """Say whether it gave a piece."""
-        return self.progressed_ms is not None
+    def has_progressed(self) -> bool:
+        """Whether the attempt extended the ledger."""
+        return self.first_piece_ms is not None
 
     @property
     def live(self) -> bool:
-        """Say whether tokens of this attempt may still be taken."""
+        """Whether tokens of this attempt may still be accepted."""
         return self.machine.state in ("opening", "streaming")
 
     @property
     def streaming(self) -> bool:
-        """Say whether the stream has proved what serves it."""
+        """Whether the stream's head arrived and was right."""
         return self.machine.state == "streaming"
 
     def accept_head(self, head: StreamHead, expected: Expected) -> bool:
-        """Check the head; a wrong one drops the attempt."""
+        """Check the stream's head and return whether it is right.
+
+        A wrong head drops the attempt.
+        """
         right = (
             expected.matches(head)
             and head.label == self.label
--- a/src/coursekeel/answers/_attempts.py
+++ b/src/coursekeel/answers/_attempts.py
@@ -1,6 +1,7 @@
-"""All attempts of one answer: opened, known by their number, ended together.
+"""All attempts of one answer, by number.
 
-Owns the attempts and their numbers. A core: the moment of an opening is given, in ms.
+Owns the attempts and their numbers. Has no clock: callers pass the time at which an
+attempt is opened, in ms.
 """
 
 from attrs import define, field
@@ -11,8 +12,8 @@
 
 __all__ = ["AttemptSet"]
 
-# A run and one that may overtake it. A third would be work done three times.
-_MAX_RACING = 2
+# The suspected run and its successor.
+_MAX_RACING_ATTEMPTS = 2
 
 
 @define(eq=False)
@@ -25,8 +26,8 @@
     def __len__(self) -> int:
         return len(self.by_number)
 
-    def known(self, number: int) -> Attempt:
-        """The attempt of this number; only an opened one is ever told of."""
+    def get(self, number: int) -> Attempt:
+        """Return an attempt by number; raises `InvariantBroken` if it isn't known."""
         attempt = self.by_number.get(number)
         if attempt is None:
             raise InvariantBroken(
@@ -36,21 +37,21 @@
 
     @property
     def live(self) -> list[Attempt]:
-        """Those whose tokens may still be taken, oldest first."""
-        return [each for each in self.by_number.values() if each.live]
+        """Attempts whose tokens may still be accepted, oldest first."""
+        return [attempt for attempt in self.by_number.values() if attempt.live]
 
     @property
-    def sound(self) -> bool:
-        """Say whether an attempt is at work that nothing speaks against."""
-        return any(not each.doubted for each in self.live)
+    def has_healthy(self) -> bool:
+        """Whether a live attempt isn't suspected."""
+        return any(not attempt.suspected for attempt in self.live)
 
     @property
     def may_have_run(self) -> bool:
-        """Say whether any attempt may have run, for all that is known."""
-        return any(each.may_have_run for each in self.by_number.values())
+        """Whether any attempt may have run on its endpoint."""
+        return any(attempt.may_have_run for attempt in self.by_number.values())
 
     def open(self, attempt: Attempt) -> OpenAttempt:
-        """Add an attempt, and ask for it to be opened."""
+        """Add an attempt and return the action that opens its stream."""
         self.by_number[attempt.number] = attempt
         return OpenAttempt(
             attempt.number,
@@ -66,30 +67,30 @@
         way: Way,
         position: int,
         now_ms: float,
-        of_run: Attempt | None = None,
+        resumed_attempt: Attempt | None = None,
     ) -> Attempt:
-        """The next attempt, which takes the run of ``of_run`` up if that is given."""
+        """Create the next attempt, which continues ``resumed_attempt``'s run if set."""
         number = len(self.by_number) + 1
-        label = of_run.label if of_run else f"{self.label}/{number}"
-        run_id = of_run.run_id if of_run else ""
+        label = resumed_attempt.label if resumed_attempt else f"{self.label}/{number}"
+        run_id = resumed_attempt.run_id if resumed_attempt else ""
         return Attempt(number, endpoint_id, way, position, label, now_ms, run_id=run_id)
 
     def cancel(
         self, attempts: list[Attempt], stops_run: bool = True
     ) -> list[CancelAttempt]:
-        """Give attempts up in favour of another, or because the answer has ended."""
-        for each in attempts:
-            each.machine.feed("superseded")
-        return [CancelAttempt(each.number, stops_run) for each in attempts]
+        """Cancel attempts because another replaced them or the answer has ended."""
+        for attempt in attempts:
+            attempt.machine.feed("superseded")
+        return [CancelAttempt(attempt.number, stops_run) for attempt in attempts]
 
     def cancel_all(self, stops_run: bool = True) -> list[CancelAttempt]:
-        """Give up all that are live."""
+        """Cancel all live attempts."""
         return self.cancel(self.live, stops_run)
 
     def cancel_others(self, winner: Attempt) -> list[CancelAttempt]:
-        """Give up all but the one that extended the ledger."""
-        return self.cancel([each for each in self.live if each is not winner])
+        """Cancel all live attempts but the one that extended the ledger."""
+        return self.cancel([attempt for attempt in self.live if attempt is not winner])
 
     def make_room(self) -> list[CancelAttempt]:
-        """Give up the oldest, so that one more may race."""
-        return self.cancel(self.live[: 1 - _MAX_RACING])
+        """Cancel the oldest attempts, so that one more may be opened."""
+        return self.cancel(self.live[: 1 - _MAX_RACING_ATTEMPTS])
--- a/src/coursekeel/answers/_events.py
+++ b/src/coursekeel/answers/_events.py
@@ -1,7 +1,6 @@
-"""What an answer is told, and what it asks its shell to do.
+"""Events that an answer's core handles, and actions that it returns to its shell.
 
-Events and actions are plain values, so that a recorded list of events replays an
-answer's life exactly.
+Both are plain values, so that a recorded list of events replays an answer exactly.
 """
 
 from enum import Enum
@@ -41,7 +40,11 @@
 
 
 class Way(Enum):
-    """How an attempt takes a generation up, cheapest first."""
+    """How an attempt starts or resumes a generation, cheapest first.
+
+    ``OWN_STREAM`` reads an engine's run again, ``COPY`` continues from a copy of the
+    run's KV cache, and ``PREFILL`` starts a run with the prompt and the held tokens.
+    """
 
     OWN_STREAM = "own_stream"
     COPY = "copy"
@@ -49,7 +52,7 @@
 
 
 class Loss(Enum):
-    """How an attempt came to its end without a finish marker."""
+    """How an attempt ended without a finish marker."""
 
     NOT_SENT = "not_sent"
     REFUSED = "refused"
@@ -59,7 +62,7 @@
 
 
 class RunState(Enum):
-    """What is known of whether a request was run; each word is a promise."""
+    """Whether a request ran; `NOT_RUN` and `RAN` are guarantees to the caller."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -68,7 +71,10 @@
 
 @frozen
 class StreamHead:
-    """What an engine says of a stream before its first token."""
+    """The head that an engine sends before a stream's first token.
+
+    ``incarnation`` identifies the engine's process start.
+    """
 
     run_id: str
     label: str
@@ -81,9 +87,10 @@
 
 @frozen
 class Started:
-    """The answer is to begin, or to go on from the tokens its ledger holds.
+    """The answer starts, or resumes after the tokens that its ledger holds.
 
-    An adopter names the engine run that the journal last spoke of, to be taken up.
+    An entry that adopts an answer names the run in its newest journal entry, which is
+    then read again. The fields are empty for a new answer.
     """
 
     endpoint_id: str = ""
@@ -100,7 +107,7 @@
 
 @frozen
 class CopyPlaced:
-    """The attempt's endpoint sends a copy of the run's memory to another endpoint."""
+    """The attempt's endpoint copies the run's KV cache to ``endpoint_id``."""
 
     attempt: int
     endpoint_id: str
@@ -108,14 +115,14 @@
 
 @frozen
 class NothingFree:
-    """Routing has no endpoint now; it will grant one later if patience lasts."""
+    """Routing has no free endpoint now; it may grant one until patience ends."""
 
     retry_after_ms: int
 
 
 @frozen
 class HeadArrived:
-    """A stream opened."""
+    """The head of an attempt's stream arrived."""
 
     attempt: int
     head: StreamHead
@@ -123,9 +130,9 @@
 
 @frozen
 class TokensArrived:
-    """An engine sent pieces (tokens, or numbered events) at ``position`` and after.
+    """An engine sent pieces (tokens or numbered events) from ``position`` on.
 
-    ``run_id`` comes with every line, so that a line of another run is known for one.
+    Every line carries its ``run_id``, so that a line of another run is recognized.
     """
 
     attempt: int
@@ -137,7 +144,7 @@
 
 @frozen
 class FinishArrived:
-    """An engine's own finish marker, at the position after the last token."""
+    """An engine sent its finish marker; ``position`` is that after the last token."""
 
     attempt: int
     run_id: str
@@ -147,7 +154,7 @@
 
 @frozen
 class AttemptEnded:
-    """A stream ended without a finish marker."""
+    """An attempt's stream ended without a finish marker."""
 
     attempt: int
     loss: Loss
@@ -155,19 +162,19 @@
 
 @frozen
 class EndpointSilent:
-    """The whole endpoint went silent, judged over all its streams."""
+    """An endpoint stalled on all its streams, or doesn't respond."""
 
     endpoint_id: str
 
 
 @frozen
 class ReadingResumed:
-    """This entry had stopped reading, so the silence until now says nothing."""
+    """This process had stopped reading, so no stream was stalled in that time."""
 
 
 @frozen
 class Tick:
-    """The alarm that the answer set has come."""
+    """The time of the last `SetAlarm` was reached."""
 
 
 @frozen
@@ -177,7 +184,7 @@
 
 @frozen
 class Cancelled:
-    """The caller, or an operator, gave the answer up."""
+    """The caller or an operator cancelled the answer."""
 
 
 Event = (
@@ -199,7 +206,11 @@
 
 @frozen
 class SeekEndpoint:
-    """Ask routing for an endpoint that isn't among ``excluded``."""
+    """Request an endpoint from routing that isn't among ``excluded``.
+
+    ``continuing`` says that the answer had an attempt before, and ``held_tokens`` how
+    many tokens a new run has to prefill beside the prompt.
+    """
 
     excluded: frozenset[str]
     continuing: bool
@@ -208,10 +219,10 @@
 
 @frozen
 class OpenAttempt:
-    """Open a stream.
+    """Open a stream from ``from_position`` on.
 
-    With `Way.OWN_STREAM` take up the engine's run ``run_id``; with `Way.COPY` the copy
-    that the endpoint keeps of that run.
+    ``run_id`` is the run to read again with `Way.OWN_STREAM`, or the one whose copy the
+    endpoint keeps with `Way.COPY`.
     """
 
     attempt: int
@@ -225,8 +236,8 @@
 class CancelAttempt:
     """Close a stream.
 
-    ``stops_run`` tells the engine to stop as well; a fenced owner must not, because
-    its successor may have taken up that very run.
+    ``stops_run`` also stops the engine's run. A fenced owner must not stop it, because
+    its successor may be reading the same run.
     """
 
     attempt: int
@@ -235,21 +246,21 @@
 
 @frozen
 class Deliver:
-    """The ledger grew up to ``end``."""
+    """Send the pieces up to position ``end`` to the caller."""
 
     end: int
 
 
 @frozen
 class Complete:
-    """The answer is whole."""
+    """The answer is complete; ``reason`` is the engine's finish reason."""
 
     reason: str
 
 
 @frozen
 class Interrupt:
-    """The answer can't be finished; its final word, given at once."""
+    """The answer can't be finished; the error to report to the caller."""
 
     code: str
     run: RunState
@@ -259,7 +270,7 @@
 
 @frozen
 class StopWork:
-    """This entry must send nothing more of the answer to anyone."""
+    """This process must send nothing more of the answer."""
 
 
 @frozen
--- a/src/coursekeel/answers/_ledger.py
+++ b/src/coursekeel/answers/_ledger.py
@@ -1,8 +1,8 @@
-"""The one sequence of tokens that makes up a generation.
+"""The sequence of tokens that makes up a generation.
 
-The ledger is what keeps tokens exact: it takes a token only at the next position, it
-compares a repeated one with what it holds, and it never skips. It is kept compact (8
-bytes a token beside its text), because an entry holds hundreds of them for minutes.
+The ledger keeps tokens exact: it appends a token only at the next position, compares a
+repeated one with the held one, and never leaves a gap. It uses 8 bytes a token beside
+the text, because an entry holds hundreds of ledgers for minutes.
 """
 
 from array import array
@@ -14,12 +14,13 @@
 
 __all__ = ["EventId", "Ledger", "Offer", "OfferKind", "digest_of"]
 
-_TOKEN_CODE = "I"
-_OFFSET_CODE = "I"
+# Array type codes: unsigned 32-bit integers.
+_TOKEN_TYPECODE = "I"
+_OFFSET_TYPECODE = "I"
 
 
 class OfferKind(Enum):
-    """What became of tokens that an attempt offered."""
+    """How the ledger handled the tokens of an offer."""
 
     EXTENDED = "extended"
     REPEATED = "repeated"
@@ -29,7 +30,7 @@
 
 @frozen
 class Offer:
-    """The outcome of an offer; ``added_tokens`` is 0 unless the ledger grew."""
+    """The result of `Ledger.offer`; ``added_tokens`` is 0 unless the ledger grew."""
 
     kind: OfferKind
     added_tokens: int = 0
@@ -40,8 +41,8 @@
     """The id of a server-sent event: ``generation.position.digest``.
 
     ``position`` counts the tokens the caller holds after the event and ``digest`` is
-    the 64-bit xxHash of their ids, so an entry that never saw the answer can tell
-    whether what it holds is the same sequence.
+    the 64-bit xxHash of their ids. Any entry can thus check whether the caller holds a
+    prefix of the sequence that the entry has read from the store.
     """
 
     generation: str
@@ -53,7 +54,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "EventId | None":
-        """Read an id back; None if it isn't one that coursekeel gave out."""
+        """Parse an id; None if ``text`` isn't in the form of an event id."""
         parts = text.rsplit(".", 2)
         if len(parts) != 3 or not parts[0]:
             return None
@@ -65,59 +66,65 @@
 
 
 def digest_of(tokens: "array[int] | list[int]") -> int:
-    """Digest a whole token sequence as event ids do."""
-    return xxhash.xxh64_intdigest(array(_TOKEN_CODE, tokens).tobytes())
+    """The digest of a token sequence, as event ids contain it."""
+    return xxhash.xxh64_intdigest(array(_TOKEN_TYPECODE, tokens).tobytes())
 
 
 class Ledger:
-    """The tokens of one generation, their texts and their rolling digest."""
+    """The tokens of one generation, their texts and their rolling digest.
 
-    __slots__ = ("_offsets", "_rolling", "_text", "_tokens", "generation")
+    The texts are stored as one byte string and the offset of each token's end.
+    """
+
+    __slots__ = ("_offsets", "_rolling_digest", "_text", "_tokens", "generation")
 
     def __init__(self, generation: str) -> None:
         self.generation = generation
-        self._tokens = array(_TOKEN_CODE)
-        self._offsets = array(_OFFSET_CODE, [0])
+        self._tokens = array(_TOKEN_TYPECODE)
+        self._offsets = array(_OFFSET_TYPECODE, [0])
         self._text = bytearray()
-        self._rolling = xxhash.xxh64()
+        self._rolling_digest = xxhash.xxh64()
 
     def __repr__(self) -> str:
         return f"<Ledger {self.event_id}>"
 
     @property
     def next_position(self) -> int:
-        """How many tokens stand, which is the position of the next one."""
+        """The position of the next token, which is the number of held tokens."""
         return len(self._tokens)
 
     @property
     def event_id(self) -> EventId:
-        """The id of an event that brings a caller up to the end of the ledger."""
-        return EventId(self.generation, len(self._tokens), self._rolling.intdigest())
+        """The id of an event that ends at the end of the ledger."""
+        return EventId(
+            self.generation, len(self._tokens), self._rolling_digest.intdigest()
+        )
 
     def offer(self, position: int, tokens: list[int], texts: list[str]) -> Offer:
-        """Take the tokens that stand at ``position`` and after.
+        """Append those of the tokens from ``position`` on that aren't held yet.
 
-        What is held already must be equal, otherwise the attempt has diverged and
-        nothing of the offer is taken.
+        Tokens that are already held must be equal to the offered ones. Otherwise the
+        attempt has diverged, and none of the offered tokens is appended.
         """
         held = len(self._tokens)
         if position > held:
             return Offer(OfferKind.GAP)
-        known = min(held - position, len(tokens))
+        repeated = min(held - position, len(tokens))
         if (
-            known
-            and self._tokens[position : position + known].tolist() != tokens[:known]
+            repeated
+            and self._tokens[position : position + repeated].tolist()
+            != tokens[:repeated]
         ):
             return Offer(OfferKind.DIVERGED)
-        if known == len(tokens):
+        if repeated == len(tokens):
             return Offer(OfferKind.REPEATED)
-        self._append(tokens[known:], texts[known:])
-        return Offer(OfferKind.EXTENDED, len(tokens) - known)
+        self._append(tokens[repeated:], texts[repeated:])
+        return Offer(OfferKind.EXTENDED, len(tokens) - repeated)
 
     def _append(self, tokens: list[int], texts: list[str]) -> None:
-        fresh = array(_TOKEN_CODE, tokens)
-        self._tokens.extend(fresh)
-        self._rolling.update(fresh.tobytes())
+        new_tokens = array(_TOKEN_TYPECODE, tokens)
+        self._tokens.extend(new_tokens)
+        self._rolling_digest.update(new_tokens.tobytes())
         for text in texts:
             self._text += text.encode()
             self._offsets.append(len(self._text))
@@ -137,24 +144,24 @@
         return [self._text[start:stop].decode() for start, stop in pairwise(cuts)]
 
     def agrees_with(self, position: int, digest: int) -> bool:
-        """Say whether a caller that holds ``position`` tokens holds these ones."""
+        """Return whether the ledger's first ``position`` tokens have this digest."""
         if position > len(self._tokens):
             return False
         if position == len(self._tokens):
-            return self._rolling.intdigest() == digest
+            return self._rolling_digest.intdigest() == digest
         return digest_of(self._tokens[:position]) == digest
 
     def digest_at(self, position: int) -> int:
         """The digest of the first ``position`` tokens."""
         if position == len(self._tokens):
-            return self._rolling.intdigest()
+            return self._rolling_digest.intdigest()
         return digest_of(self._tokens[:position])
 
     def continued_as(self, generation: str) -> "Ledger":
-        """A new generation that has this one's tokens as its prefix."""
+        """Copy the ledger into a new generation, which continues after these tokens."""
         copy = Ledger(generation)
         copy._tokens.extend(self._tokens)
         copy._offsets = self._offsets[:]
         copy._text += self._text
-        copy._rolling = self._rolling.copy()
+        copy._rolling_digest = self._rolling_digest.copy()
         return copy
--- a/src/coursekeel/answers/_policy.py
+++ b/src/coursekeel/answers/_policy.py
@@ -1,4 +1,4 @@
-"""The settings that a request class gives to its answers."""
+"""Timeouts and limits that a request class sets for its answers."""
 
 from attrs import frozen
 
@@ -7,19 +7,17 @@
 
 @frozen
 class AnswerPolicy:
-    """How long an answer waits, and what it spends on not waiting.
+    """Timeouts and limits of one answer's attempts.
 
-    ``silence_ms`` is how long one stream may be silent before it is doubted;
-    ``races`` says whether a doubted stream keeps running beside its successor (head
-    office buys latency) or is cancelled first (Paysandú saves engine work).
-    ``copy_first_ms`` is the longest wait for the first piece from a copy, which has
-    little left to read. ``deaths_before_stop`` lost runs, and none between that gave
-    pieces for ``sound_after_ms``, mean that the request itself stops engines.
-    ``own_stream_tries`` bounds how often an engine's own run is read again before it
-    counts as lost.
+    ``patience_ms`` is the longest wait for a piece, at the start and after each loss.
+    A stream is suspected after ``first_token_ms`` without a first piece
+    (``copy_first_ms`` when it continues from a copy), later after ``silence_ms``
+    without data. ``races`` keeps a suspected stream open beside its successor, which
+    saves latency; cancelling it first saves engine work.
 
-    Classes set their own in the intent, the
-    gateway in `StreamTask`. What silence costs is measured by `bench.resume`.
+    An answer is interrupted after ``deaths_before_stop`` lost runs in a row, not
+    counting those before a run that streamed for ``sound_after_ms``. An engine's run is
+    read again up to ``own_stream_tries`` times before it counts as lost.
     """
 
     patience_ms: int = 30_000
--- a/src/coursekeel/answers/_records.py
+++ b/src/coursekeel/answers/_records.py
@@ -1,4 +1,4 @@
-"""The table rows that say who owns a durable answer and how it ended."""
+"""Table rows that record who owns a durable answer and how it ended."""
 
 from enum import Enum
 from typing import Any
@@ -8,13 +8,12 @@
 
 __all__ = ["AnswerRecord", "PriorJournal", "RecordState", "answer_key", "owned_key"]
 
-# Enough that keys sort by number for a process that orders a million answers a second
-# for a week. A stored form: it can't change.
+# Zero-padded so that keys sort by number. Stored keys contain it, so it can't change.
 _ORDER_DIGITS = 12
 
 
 class RecordState(Enum):
-    """What a durable answer's row says of it."""
+    """The state of a durable answer in its row."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -25,7 +24,7 @@
 
 @frozen
 class PriorJournal:
-    """Where a former owner's words of an answer stand."""
+    """The range of a former owner's journal segments that contain an answer."""
 
     owner: str
     generation: str
@@ -37,11 +36,12 @@
 class AnswerRecord:
     """One durable answer's row.
 
-    ``owner`` is the owning incarnation and ``epoch`` grows with each takeover.
-    ``order`` is the place of the answer in its owner's index, oldest first.
-    ``first_segment`` is the owner's first journal segment that may speak of it, and
-    ``prior`` where the former owner's journal stands, which counts until the present
-    owner's speaks of the answer. Small prompts and results lie in the row itself.
+    ``owner`` is the owning entry's process incarnation and ``epoch`` grows with each
+    takeover. ``order`` is the answer's place in its owner's index, oldest first.
+    ``first_segment`` is the owner's first journal segment that may contain the answer,
+    and ``prior`` the former owner's segments, used until the owner's own journal
+    contains it. Small prompts and results are in the row itself, others in the objects
+    ``prompt_object`` and ``result_object``.
     """
 
     team: str
@@ -66,7 +66,7 @@
 
     @property
     def key(self) -> str:
-        """The row's key in the table."""
+        """The key of this row in the table."""
         return answer_key(self.team, self.request_id)
 
     @property
@@ -75,21 +75,21 @@
         return owned_key(self.owner, self.order)
 
     def to_row(self) -> dict[str, Any]:
-        """The row's value as the table keeps it."""
+        """The row's value as the table stores it."""
         row: dict[str, Any] = cattrs.unstructure(self)
         return row
 
     @classmethod
     def from_row(cls, value: dict[str, Any]) -> "AnswerRecord":
-        """Read a row back."""
+        """Decode a row's value."""
         return cattrs.structure(value, cls)
 
 
 def answer_key(team: str, request_id: str) -> str:
-    """The key of an answer's row."""
+    """The table key of an answer's row."""
     return f"answers/{team}/{request_id}"
 
 
 def owned_key(owner: str, order: int) -> str:
-    """The key under which an owner's answers are listed, oldest first."""
+    """The key that lists an answer under its owner; keys sort oldest first."""
     return f"owned/{owner}/{order:0{_ORDER_DIGITS}d}"
--- a/src/coursekeel/answers/_recovery.py
+++ b/src/coursekeel/answers/_recovery.py
@@ -1,16 +1,16 @@
-"""Resume and give up: what follows when a run of an answer is lost or doubted.
-
-Rule: an answer goes on in the cheapest way that is left: the engine's own run read
-again, if the engine still lives; a copy of the run's memory; a new run that reads the
-prompt and what is held again. Where several runs were lost and none went on for a
-while between, the request itself is taken to stop engines, and it gets its final word.
-A run that is silent for too long is doubted: it runs on beside its successor (`races`),
-or is closed first. An answer that waits for longer than its class's patience is given
-up.
-
-Owns what speaks against endpoints, how many runs died one after the other, and since
-when the answer waits. Every time and limit stands in `AnswerPolicy`. A core: each
-moment is given, in ms.
+"""Resume an answer after its run was lost or stalled, or give it up.
+
+Rule: an answer resumes in the cheapest way that is available: reading the engine's
+own run again, continuing from a copy of the run's KV cache, or a new run that
+prefills the prompt and the tokens held so far. Several runs lost in a row, without
+one that streamed for a while, mean that the request itself crashes engines; the
+answer is then interrupted. A stalled run is suspected: with `races` it stays open
+beside its successor, otherwise it is cancelled first. An answer that waits for longer
+than its class's ``patience_ms`` is interrupted.
+
+Owns the endpoints to avoid, the count of runs lost in a row, and the time since which
+the answer waits. All timeouts and limits are in `AnswerPolicy`. Has no clock: callers
+pass the current time in ms.
 """
 
 import math
@@ -38,10 +38,11 @@
 
 @define(eq=False)
 class Recovery:
-    """Recovers one answer; ``position`` gives the place after the last piece held.
+    """Recovery of one answer.
 
-    ``bad_endpoints`` lost a run of this answer since its last progress, or wouldn't
-    take one. ``deaths`` counts runs lost since one went on for ``sound_after_ms``.
+    ``position`` returns the ledger's next position. ``bad_endpoints`` lost or refused
+    a run of this answer since its last progress. ``lost_runs`` counts runs lost since
+    the last one that streamed for ``sound_after_ms``.
     """
 
     policy: AnswerPolicy
@@ -49,7 +50,7 @@
     machine: Machine
     position: Callable[[], int]
     bad_endpoints: set[str] = field(factory=set)
-    deaths: int = 0
+    lost_runs: int = 0
     waiting_since_ms: float | None = None
     retry_after_ms: int = field(init=False)
     _own_stream_tries: int = 0
@@ -60,198 +61,219 @@
 
     @property
     def run_state(self) -> RunState:
-        """What may truthfully be said of whether the request was run."""
+        """Whether the request ran, as far as can be guaranteed."""
         if self.position():
             return RunState.RAN
         ran = self.attempts.may_have_run
         return RunState.UNKNOWN if ran else RunState.NOT_RUN
 
-    def progressed(self, for_ms: float) -> None:
-        """A piece came, ``for_ms`` after its run's first: losses are made good.
+    def record_progress(self, streamed_ms: float) -> None:
+        """Reset the recovery state after new pieces; called when the ledger grew.
 
-        A request that stops its engines may give some pieces each time before it does,
-        and would stop one after the other without end.
+        ``streamed_ms`` is the time since the run's first piece. A request that crashes
+        engines may stream some pieces before each crash, so ``lost_runs`` is reset only
+        once a run has streamed for ``sound_after_ms``.
         """
         self.waiting_since_ms = None
         self._own_stream_tries = 0
-        if for_ms >= self.policy.sound_after_ms:
-            self.deaths = 0
+        if streamed_ms >= self.policy.sound_after_ms:
+            self.lost_runs = 0
         if self.bad_endpoints:
             self.bad_endpoints.clear()
 
-    # Attempts begin.
+    # Opening attempts.
 
-    def begin(self, now_ms: float) -> None:
-        """The answer waits for its first piece."""
+    def start_waiting(self, now_ms: float) -> None:
+        """Start the patience timeout, as the answer waits for its first piece."""
         self.waiting_since_ms = now_ms
 
-    def seek(self) -> list[Action]:
-        """Ask for an endpoint; one question at a time."""
+    def request_endpoint(self) -> list[Action]:
+        """Request an endpoint from routing, unless a request is already pending."""
         if self._seeking:
             return []
         self._seeking = True
-        busy = {each.endpoint_id for each in self.attempts.live}
+        busy = {attempt.endpoint_id for attempt in self.attempts.live}
         excluded = frozenset(self.bad_endpoints | busy)
         continuing = len(self.attempts) > 0
         return [SeekEndpoint(excluded, continuing, self.position())]
 
-    def granted(self, endpoint_id: str, now_ms: float) -> list[Action]:
-        """An endpoint was found; it is used unless a doubted stream spoke again."""
+    def use_endpoint(self, endpoint_id: str, now_ms: float) -> list[Action]:
+        """Open an attempt on the endpoint that routing granted.
+
+        Does nothing if a suspected stream has recovered in the meantime.
+        """
         self._seeking = False
-        if self.attempts.sound:
+        if self.attempts.has_healthy:
             return []
-        given_up = self.attempts.make_room()
+        cancelled = self.attempts.make_room()
         self.machine.feed("granted")
-        attempt = self._new(endpoint_id, Way.PREFILL, now_ms)
-        return [*given_up, *self.open(attempt)]
-
-    def open(self, attempt: Attempt) -> list[Action]:
-        """Open an attempt, which changes what the alarm is for."""
-        return [self.attempts.open(attempt), self.alarm()]
-
-    def _new(
-        self, endpoint_id: str, way: Way, now_ms: float, of_run: Attempt | None = None
+        attempt = self._new_attempt(endpoint_id, Way.PREFILL, now_ms)
+        return [*cancelled, *self.open_attempt(attempt)]
+
+    def open_attempt(self, attempt: Attempt) -> list[Action]:
+        """Open an attempt and update the alarm."""
+        return [self.attempts.open(attempt), self.next_alarm()]
+
+    def _new_attempt(
+        self,
+        endpoint_id: str,
+        way: Way,
+        now_ms: float,
+        resumed_attempt: Attempt | None = None,
     ) -> Attempt:
-        return self.attempts.new(endpoint_id, way, self.position(), now_ms, of_run)
+        return self.attempts.new(
+            endpoint_id, way, self.position(), now_ms, resumed_attempt
+        )
 
-    # Losses.
+    # Lost attempts.
 
-    def drop(self, attempt: Attempt, now_ms: float) -> list[Action]:
-        """An attempt gave what can't be the answer's: it and its endpoint are out."""
+    def drop_attempt(self, attempt: Attempt, now_ms: float) -> list[Action]:
+        """Cancel an attempt that sent data of another run, and avoid its endpoint."""
         attempt.machine.feed("lost")
-        return self.rejected(attempt, now_ms)
+        return self.replace_rejected(attempt, now_ms)
+
+    def replace_rejected(self, attempt: Attempt, now_ms: float) -> list[Action]:
+        """Cancel an attempt whose machine is already in ``dropped``; seek another.
 
-    def rejected(self, attempt: Attempt, now_ms: float) -> list[Action]:
-        """An attempt is out already; close it, and don't go back to its endpoint."""
+        Its endpoint is avoided until the answer progresses.
+        """
         self.bad_endpoints.add(attempt.endpoint_id)
-        return [CancelAttempt(attempt.number), *self._search_on(now_ms)]
+        return [CancelAttempt(attempt.number), *self._seek_if_none_healthy(now_ms)]
 
-    def reread(self, attempt: Attempt, now_ms: float) -> list[Action]:
-        """Pieces are missing between what is held and what came: read them again."""
+    def reread_run(self, attempt: Attempt, now_ms: float) -> list[Action]:
+        """Read the run again, because pieces are missing before the received ones."""
         attempt.machine.feed("lost")
         return [
             CancelAttempt(attempt.number, stops_run=False),
-            *self._own_stream_or_else(attempt, now_ms),
+            *self._reread_or_recover(attempt, now_ms),
         ]
 
-    def ended(self, attempt: Attempt, loss: Loss, now_ms: float) -> list[Action]:
-        """An attempt's stream ended without a finish marker."""
+    def handle_loss(self, attempt: Attempt, loss: Loss, now_ms: float) -> list[Action]:
+        """Resume after an attempt's stream ended without a finish marker."""
         was_streaming = attempt.streaming
         attempt.machine.feed("lost")
         if was_streaming:
-            return self._own_stream_or_else(attempt, now_ms)
+            return self._reread_or_recover(attempt, now_ms)
         if loss not in (Loss.NOT_SENT, Loss.REFUSED):
-            return self._died(attempt, now_ms)
+            return self._handle_lost_run(attempt, now_ms)
         attempt.may_have_run = False
         if attempt.way is Way.OWN_STREAM:
-            return self._died(attempt, now_ms)
+            return self._handle_lost_run(attempt, now_ms)
         self.bad_endpoints.add(attempt.endpoint_id)
-        return self._search_on(now_ms)
+        return self._seek_if_none_healthy(now_ms)
 
-    def _own_stream_or_else(self, attempt: Attempt, now_ms: float) -> list[Action]:
-        """The engine's own run is the cheapest way on, if the engine still lives."""
+    def _reread_or_recover(self, attempt: Attempt, now_ms: float) -> list[Action]:
+        """Read the engine's own run again, or treat it as lost after too many tries."""
         if not attempt.run_id or self._own_stream_tries >= self.policy.own_stream_tries:
-            return self._died(attempt, now_ms)
+            return self._handle_lost_run(attempt, now_ms)
         self._own_stream_tries += 1
-        self._mark_lost(now_ms)
+        self._mark_recovering(now_ms)
         self.machine.feed("granted")
-        again = self._new(attempt.endpoint_id, Way.OWN_STREAM, now_ms, attempt)
-        # If the engine doesn't answer, the same run's copy is the next way on.
-        again.copy_id = attempt.copy_id
-        return self.open(again)
-
-    def _died(self, attempt: Attempt, now_ms: float) -> list[Action]:
-        self.deaths += 1
+        reread = self._new_attempt(attempt.endpoint_id, Way.OWN_STREAM, now_ms, attempt)
+        # If the engine doesn't respond, the copy of the same run is tried next.
+        reread.copy_id = attempt.copy_id
+        return self.open_attempt(reread)
+
+    def _handle_lost_run(self, attempt: Attempt, now_ms: float) -> list[Action]:
+        """Count a lost run; interrupt the answer at the limit, otherwise resume it."""
+        self.lost_runs += 1
         self.bad_endpoints.add(attempt.endpoint_id)
-        if self.deaths >= self.policy.deaths_before_stop:
+        if self.lost_runs >= self.policy.deaths_before_stop:
             return self._give_up("request_stops_engines", "unstoppable")
-        return self._copy_or_else(attempt, now_ms)
+        return self._resume_from_copy_or_seek(attempt, now_ms)
 
-    def _copy_or_else(self, lost: Attempt, now_ms: float) -> list[Action]:
-        """A copy of the run's memory goes on without reading the prompt again."""
-        if not self._has_copy(lost) or self.attempts.sound:
-            return self._search_on(now_ms)
-        self._mark_lost(now_ms)
+    def _resume_from_copy_or_seek(self, lost: Attempt, now_ms: float) -> list[Action]:
+        """Continue from the run's KV cache copy, or seek an endpoint if it has none."""
+        if not self._has_copy(lost) or self.attempts.has_healthy:
+            return self._seek_if_none_healthy(now_ms)
+        self._mark_recovering(now_ms)
         return self._open_copy(lost, now_ms)
 
     def _has_copy(self, attempt: Attempt) -> bool:
         return bool(attempt.copy_id) and attempt.copy_id not in self.bad_endpoints
 
     def _open_copy(self, attempt: Attempt, now_ms: float) -> list[Action]:
-        # A grant that is still on its way finds a live attempt and opens nothing.
+        # A pending grant will find this live attempt and open nothing.
         self.machine.feed("granted")
-        copy = self._new(attempt.copy_id, Way.COPY, now_ms, attempt)
-        # An engine that never named its run knows the copy by the attempt's label.
+        copy = self._new_attempt(attempt.copy_id, Way.COPY, now_ms, attempt)
+        # If the engine never sent its run id, the copy is stored under the label.
         copy.run_id = attempt.run_id or attempt.label
-        return self.open(copy)
+        return self.open_attempt(copy)
 
-    def _search_on(self, now_ms: float) -> list[Action]:
-        if self.attempts.sound:
+    def _seek_if_none_healthy(self, now_ms: float) -> list[Action]:
+        if self.attempts.has_healthy:
             return []
-        self._mark_lost(now_ms)
-        return [*self.seek(), self.alarm()]
+        self._mark_recovering(now_ms)
+        return [*self.request_endpoint(), self.next_alarm()]
 
-    def _mark_lost(self, now_ms: float) -> None:
+    def _mark_recovering(self, now_ms: float) -> None:
         if self.waiting_since_ms is None:
             self.waiting_since_ms = now_ms
         if self.machine.state == "running" and not self.attempts.live:
             self.machine.feed("lost")
 
-    # Silence.
+    # Stalled attempts.
 
-    def doubt(self, attempt: Attempt, now_ms: float) -> list[Action]:
-        """An attempt was silent for too long, or its whole endpoint was."""
-        attempt.doubted = True
+    def suspect(self, attempt: Attempt, now_ms: float) -> list[Action]:
+        """Suspect an attempt because it, or its whole endpoint, stalled."""
+        attempt.suspected = True
         self.bad_endpoints.add(attempt.endpoint_id)
         if self.waiting_since_ms is None:
             self.waiting_since_ms = now_ms
         if self.policy.races:
-            return self._race(attempt, now_ms)
+            return self._open_competing_run(attempt, now_ms)
         attempt.machine.feed("lost")
         return [
             CancelAttempt(attempt.number),
-            *self._copy_or_else(attempt, now_ms),
+            *self._resume_from_copy_or_seek(attempt, now_ms),
         ]
 
-    def _race(self, doubted: Attempt, now_ms: float) -> list[Action]:
-        """A second run beside one that may speak again; from its copy if it has one."""
-        if not self._has_copy(doubted):
-            return [*self.seek(), self.alarm()]
-        return [*self.attempts.make_room(), *self._open_copy(doubted, now_ms)]
+    def _open_competing_run(self, suspected: Attempt, now_ms: float) -> list[Action]:
+        """Open a second run beside a suspected one, from its copy if it has one."""
+        if not self._has_copy(suspected):
+            return [*self.request_endpoint(), self.next_alarm()]
+        return [*self.attempts.make_room(), *self._open_copy(suspected, now_ms)]
+
+    def handle_alarm(self, now_ms: float) -> list[Action]:
+        """Interrupt the answer if its patience is over, else suspect stalled attempts.
 
-    def tick(self, now_ms: float) -> list[Action]:
-        """The alarm rang: give up, or doubt whatever has been silent for too long."""
+        The shell calls it, as `Tick`, at the time of the last `SetAlarm`.
+        """
         since_ms = self.waiting_since_ms
         if since_ms is not None and now_ms >= since_ms + self.policy.patience_ms:
             return self._give_up("interrupted", "patience_over")
         actions: list[Action] = []
-        for each in self.attempts.live:
-            if not each.doubted and now_ms >= self._due_ms(each):
-                actions += self.doubt(each, now_ms)
-        return [*actions, self.alarm()]
+        for attempt in self.attempts.live:
+            if not attempt.suspected and now_ms >= self._suspect_at_ms(attempt):
+                actions += self.suspect(attempt, now_ms)
+        return [*actions, self.next_alarm()]
 
-    def alarm(self) -> SetAlarm:
-        """The next moment at which silence or waiting will have been too long."""
+    def next_alarm(self) -> SetAlarm:
+        """Set the alarm for when an attempt becomes suspect or patience ends."""
         live = self.attempts.live
-        due = [self._due_ms(each) for each in live if not each.doubted]
+        times_ms = [
+            self._suspect_at_ms(attempt) for attempt in live if not attempt.suspected
+        ]
         if self.waiting_since_ms is not None:
-            due.append(self.waiting_since_ms + self.policy.patience_ms)
-        return SetAlarm(min(due, default=math.inf))
+            times_ms.append(self.waiting_since_ms + self.policy.patience_ms)
+        return SetAlarm(min(times_ms, default=math.inf))
 
-    def _due_ms(self, attempt: Attempt) -> float:
-        if attempt.progressed:
-            return attempt.heard_ms + self.policy.silence_ms
+    def _suspect_at_ms(self, attempt: Attempt) -> float:
+        if attempt.has_progressed:
+            return attempt.last_received_ms + self.policy.silence_ms
         if attempt.way is Way.COPY:
             return attempt.opened_ms + self.policy.copy_first_ms
         return attempt.opened_ms + self.policy.first_token_ms
 
-    # The end.
+    # Interrupting the answer.
 
     def _give_up(self, code: str, chart_input: str) -> list[Action]:
         stopped = self.attempts.cancel_all()
         if self.machine.state == "running":
-            # The last attempt may be doubted and still open when patience ends.
+            # The last attempt may be suspected and still open when patience ends.
             self.machine.feed("lost")
         self.machine.feed(chart_input)
-        word = Interrupt(code, self.run_state, self.position(), self.retry_after_ms)
-        return [*stopped, word]
+        interrupt = Interrupt(
+            code, self.run_state, self.position(), self.retry_after_ms
+        )
+        return [*stopped, interrupt]
--- a/tests/cover/test_answers_under_faults.py
+++ b/tests/cover/test_answers_under_faults.py
@@ -172,7 +172,7 @@
 def test_our_own_pause_is_no_silence_of_others():
     world = world_at(8)
     world.pause_of_ours(10_000)
-    assert not world.core.attempts[1].doubted
+    assert not world.core.attempts[1].suspected
 
 
 def test_a_request_that_kills_engines_is_stopped():
--- a/tests/cover/test_recovery_machine.py
+++ b/tests/cover/test_recovery_machine.py
@@ -194,7 +194,7 @@
         at_work = [
             number
             for number in self.open_attempts()
-            if not self.core.attempts[number].doubted
+            if not self.core.attempts[number].suspected
         ]
         assert at_work or self.seeking is not None
 
