--- a/src/coursekeel/calls/_call.py
+++ b/src/coursekeel/calls/_call.py
@@ -49,10 +49,10 @@
     claim: ClaimRow | None
     keyed: bool
     _machine: Machine = field(factory=lambda: load_chart("call").machine())
-    _version: int = 0
+    _claim_version: int = 0
     _tries: int = 0
-    _unreached: int = 0
-    _failure: ServiceReply | None = None
+    _unreached_tries: int = 0
+    _last_failure: ServiceReply | None = None
     may_have_run: bool = False
     _reply: CallReply | None = None
 
@@ -67,13 +67,13 @@
             case Begin():
                 return self._begin()
             case ClaimAnswered():
-                return self._claimed(event.outcome)
+                return self._handle_claim_answered(event.outcome)
             case ReadBackAnswered():
-                return self._read_back(event.outcome)
+                return self._handle_read_back(event.outcome)
             case SendEnded():
-                return self._sent(event.outcome)
+                return self._handle_send_ended(event.outcome)
             case Recorded():
-                return self._recorded(event.outcome)
+                return self._handle_recorded(event.outcome)
 
     def _begin(self) -> list[CallAction]:
         if self.claim is None:
@@ -82,59 +82,61 @@
         self._machine.feed("claim_needed")
         return [WriteClaim(self.claim)]
 
-    def _claimed(self, outcome: TransactOutcome) -> list[CallAction]:
+    def _handle_claim_answered(self, outcome: TransactOutcome) -> list[CallAction]:
         claim = self._own_claim()
         match outcome:
             case Committed():
-                self._version = outcome.versions[claim.key]
+                self._claim_version = outcome.versions[claim.key]
                 self._machine.feed("claim_won")
                 return self._send()
             case Conflict():
                 self._machine.feed("claim_lost")
-                return [Reply(self._other(outcome.rows.get(claim.key)))]
+                return [Reply(self._reply_of_first_call(outcome.rows.get(claim.key)))]
             case Unsure():
                 self._machine.feed("claim_unsure")
                 return [ReadBack(claim.key)]
             case Unavailable():
                 self._machine.feed("claim_unavailable")
-                return [Reply(self._unknown("store_unavailable"))]
+                return [Reply(self._unknown_reply("store_unavailable"))]
 
-    def _read_back(self, outcome: Rows | Unavailable) -> list[CallAction]:
+    def _handle_read_back(self, outcome: Rows | Unavailable) -> list[CallAction]:
         claim = self._own_claim()
         if isinstance(outcome, Unavailable):
             self._machine.feed("claim_unavailable")
-            return [Reply(self._unknown("store_unavailable"))]
+            return [Reply(self._unknown_reply("store_unavailable"))]
         row = outcome.rows.get(claim.key)
         if row is None:
             # The claim may still be on its way into the table, and a send without it
             # could meet a second one.
             self._machine.feed("claim_unsure")
-            return [Reply(self._unknown("claim_unsure"))]
+            return [Reply(self._unknown_reply("claim_unsure"))]
         if row.value["attempt_id"] == claim.attempt_id:
-            self._version = row.version
+            self._claim_version = row.version
             self._machine.feed("claim_won")
             return self._send()
         self._machine.feed("claim_lost")
-        return [Reply(self._other(row))]
+        return [Reply(self._reply_of_first_call(row))]
 
     def _send(self) -> list[CallAction]:
         return [Send()]
 
-    def _sent(self, outcome: ServiceReply | SendOutcome) -> list[CallAction]:
+    def _handle_send_ended(
+        self, outcome: ServiceReply | SendOutcome
+    ) -> list[CallAction]:
         if outcome is SendOutcome.NOT_SENT:
-            self._unreached += 1
+            self._unreached_tries += 1
         else:
             self._tries += 1
         if isinstance(outcome, ServiceReply) and outcome.failed:
-            self._failure = outcome
+            self._last_failure = outcome
         if self._may_try_again(outcome):
             return self._send()
-        if self._failure is not None and not isinstance(outcome, ServiceReply):
+        if self._last_failure is not None and not isinstance(outcome, ServiceReply):
             # A failure that the service gave says more than the loss of a later try.
-            outcome = self._failure
-        return self._end(outcome)
+            outcome = self._last_failure
+        return self._finish(outcome)
 
-    def _end(self, outcome: ServiceReply | SendOutcome) -> list[CallAction]:
+    def _finish(self, outcome: ServiceReply | SendOutcome) -> list[CallAction]:
         """No further try: the call's fate is what the last one proves."""
         match outcome:
             case ServiceReply():
@@ -142,10 +144,10 @@
                 return self._settle(CallReply(RunState.RAN, reply=outcome))
             case SendOutcome.MAYBE_SENT:
                 self._machine.feed("maybe_sent")
-                return self._settle(self._unknown("answer_lost"))
+                return self._settle(self._unknown_reply("answer_lost"))
             case _ if self.may_have_run:
                 self._machine.feed("maybe_sent")
-                return self._settle(self._unknown("answer_lost"))
+                return self._settle(self._unknown_reply("answer_lost"))
             case _:
                 self._machine.feed("not_sent")
                 return self._settle(
@@ -163,7 +165,7 @@
             return False
         match outcome:
             case SendOutcome.NOT_SENT:
-                return self._unreached < self.policy.unreached_tries
+                return self._unreached_tries < self.policy.unreached_tries
             case SendOutcome.TURNED_AWAY:
                 return True
             case SendOutcome.MAYBE_SENT:
@@ -182,19 +184,19 @@
         self._reply = reply
         if self.claim is None:
             self._machine.feed("recorded")
-            return [Reply(self._without_claim(reply))]
-        record = Record(self.claim.settled(reply.run, reply.reply), self._version)
+            return [Reply(self._reply_without_claim(reply))]
+        record = Record(self.claim.settled(reply.run, reply.reply), self._claim_version)
         if reply.run is RunState.NOT_RUN:
             return [record]
         return [Reply(reply), record]
 
-    def _without_claim(self, reply: CallReply) -> CallReply:
+    def _reply_without_claim(self, reply: CallReply) -> CallReply:
         """With a caller's key, another entry may have run what this one didn't."""
         if reply.run is RunState.NOT_RUN and self.keyed:
-            return self._unknown(reply.code)
+            return self._unknown_reply(reply.code)
         return reply
 
-    def _recorded(self, outcome: TransactOutcome) -> list[CallAction]:
+    def _handle_recorded(self, outcome: TransactOutcome) -> list[CallAction]:
         """A refusal that doesn't stand in the table isn't given out."""
         reply = self._reply
         self._machine.feed("recorded")
@@ -202,12 +204,12 @@
             return []
         if isinstance(outcome, Committed):
             return [Reply(reply)]
-        return [Reply(self._unknown("store_unavailable"))]
+        return [Reply(self._unknown_reply("store_unavailable"))]
 
-    def _other(self, row: Row | None) -> CallReply:
+    def _reply_of_first_call(self, row: Row | None) -> CallReply:
         """What the first call with this key came to."""
         if row is None:
-            return self._unknown("claim_unsure")
+            return self._unknown_reply("claim_unsure")
         first = ClaimRow.from_row(row.key, row.value)
         if first.fingerprint != self._own_claim().fingerprint:
             return CallReply(RunState.UNKNOWN, "key_reused")
@@ -220,9 +222,9 @@
             case ClaimState.UNKNOWN:
                 return CallReply(RunState.UNKNOWN, "answer_lost", repeated=True)
             case ClaimState.RUNNING:
-                return self._unknown("in_progress")
+                return self._unknown_reply("in_progress")
 
-    def _unknown(self, code: str) -> CallReply:
+    def _unknown_reply(self, code: str) -> CallReply:
         return CallReply(
             RunState.UNKNOWN, code, retry_after_ms=self.policy.retry_after_ms
         )
--- a/src/coursekeel/calls/_claims.py
+++ b/src/coursekeel/calls/_claims.py
@@ -14,7 +14,7 @@
 
 # The largest reply that a claim's row keeps for a second call with its key. Rows are
 # small, and a booking's confirmation is some hundred bytes.
-_KEPT_BODY_BYTES = 64 * 1024
+_MAX_STORED_BODY_BYTES = 64 * 1024
 
 
 class ClaimState(Enum):
@@ -26,7 +26,7 @@
     REFUSED = "refused"
 
 
-_AFTER = {
+_STATE_AFTER_RUN = {
     RunState.RAN: ClaimState.DONE,
     RunState.UNKNOWN: ClaimState.UNKNOWN,
     RunState.NOT_RUN: ClaimState.REFUSED,
@@ -62,8 +62,8 @@
     def settled(self, run: RunState, reply: ServiceReply | None) -> "ClaimRow":
         """The row that keeps the call's fate for a second call with the key."""
         if reply is None:
-            return evolve(self, state=_AFTER[run])
-        if len(reply.body) > _KEPT_BODY_BYTES:
+            return evolve(self, state=_STATE_AFTER_RUN[run])
+        if len(reply.body) > _MAX_STORED_BODY_BYTES:
             # The call ran, and that must be kept; the body is more than a row holds.
             return evolve(self, state=ClaimState.DONE, status=reply.status)
         return evolve(
--- a/src/coursekeel/calls/_reply.py
+++ b/src/coursekeel/calls/_reply.py
@@ -5,7 +5,7 @@
 __all__ = ["ServiceReply"]
 
 # The first status of a server's own failures (RFC 9110). A core imports no http.
-_FIRST_FAILURE = 500
+_FIRST_SERVER_ERROR = 500
 
 
 @frozen
@@ -20,4 +20,4 @@
     @property
     def failed(self) -> bool:
         """Say whether the service itself failed, so that another may do better."""
-        return self.status >= _FIRST_FAILURE
+        return self.status >= _FIRST_SERVER_ERROR
--- a/src/coursekeel/intents/_codec.py
+++ b/src/coursekeel/intents/_codec.py
@@ -18,7 +18,7 @@
 
 __all__ = ["intent_from_json", "intent_to_json"]
 
-_INNER = (
+_INTENT_CLASSES = (
     ModelName,
     ModelIntent,
     EndpointIntent,
@@ -28,7 +28,7 @@
     TeamIntent,
     Intent,
 )
-_CONVERTER = strict_converter(*_INNER)
+_CONVERTER = strict_converter(*_INTENT_CLASSES)
 
 
 def intent_from_json(value: Any) -> Intent:
@@ -38,27 +38,31 @@
     """
     if not isinstance(value, dict):
         raise RequestInvalid("", f"an intent is a JSON object, got {value!r:.40}")
-    filled = {**value, "classes": [_filled(each) for each in value.get("classes", [])]}
+    expanded = {
+        **value,
+        "classes": [_expand_profile(raw) for raw in value.get("classes", [])],
+    }
     try:
-        return _CONVERTER.structure(filled, Intent)
+        return _CONVERTER.structure(expanded, Intent)
     except Exception as failure:
         raise RequestInvalid("", "; ".join(faults_of(failure))) from failure
 
 
-def _filled(value: Any) -> Any:
+def _expand_profile(value: Any) -> Any:
     if not isinstance(value, dict) or "profile" not in value:
         return value
-    rest = {key: each for key, each in value.items() if key != "profile"}
+    own_values = {key: item for key, item in value.items() if key != "profile"}
     profile = CLASS_PROFILES.get(value["profile"])
     if profile is None:
-        known = ", ".join(CLASS_PROFILES)
+        profile_names = ", ".join(CLASS_PROFILES)
         raise RequestInvalid(
-            "classes", f"unknown profile {value['profile']!r}; expected one of: {known}"
+            "classes",
+            f"unknown profile {value['profile']!r}; expected one of: {profile_names}",
         )
-    return {**_CONVERTER.unstructure(profile), **rest}
+    return {**_CONVERTER.unstructure(profile), **own_values}
 
 
 def intent_to_json(intent: Intent) -> dict[str, Any]:
     """The JSON form of an intent, which `intent_from_json` reads back."""
     raw: dict[str, Any] = _CONVERTER.unstructure(intent)
-    return {key: each for key, each in raw.items() if not key.startswith("_")}
+    return {key: item for key, item in raw.items() if not key.startswith("_")}
--- a/src/coursekeel/intents/_model.py
+++ b/src/coursekeel/intents/_model.py
@@ -152,44 +152,44 @@
 
     def __attrs_post_init__(self) -> None:
         self._index.update(
-            models={each.name: each for each in self.models},
-            endpoints={each.endpoint_id: each for each in self.endpoints},
-            services={each.name: each for each in self.services},
-            classes={each.name: each for each in self.classes},
-            teams={each.name: each for each in self.teams},
+            models={model.name: model for model in self.models},
+            endpoints={endpoint.endpoint_id: endpoint for endpoint in self.endpoints},
+            services={service.name: service for service in self.services},
+            classes={policy.name: policy for policy in self.classes},
+            teams={team.name: team for team in self.teams},
         )
 
     def model(self, name: str) -> ModelIntent | None:
         """The model that callers know by this name."""
-        found: ModelIntent | None = self._index["models"].get(name)
-        return found
+        model: ModelIntent | None = self._index["models"].get(name)
+        return model
 
     def endpoint(self, endpoint_id: str) -> EndpointIntent | None:
         """The endpoint of this id."""
-        found: EndpointIntent | None = self._index["endpoints"].get(endpoint_id)
-        return found
+        endpoint: EndpointIntent | None = self._index["endpoints"].get(endpoint_id)
+        return endpoint
 
     def service(self, name: str) -> ServiceIntent | None:
         """The service of this name."""
-        found: ServiceIntent | None = self._index["services"].get(name)
-        return found
+        service: ServiceIntent | None = self._index["services"].get(name)
+        return service
 
     def request_class(self, name: str) -> ClassPolicy:
         """The class of this name, or one with the defaults."""
-        found: ClassPolicy | None = self._index["classes"].get(name)
-        return found or ClassPolicy(name)
+        policy: ClassPolicy | None = self._index["classes"].get(name)
+        return policy or ClassPolicy(name)
 
     def team(self, name: str) -> TeamIntent | None:
         """The team of this name."""
-        found: TeamIntent | None = self._index["teams"].get(name)
-        return found
+        team: TeamIntent | None = self._index["teams"].get(name)
+        return team
 
     def engines_of(self, model_name: str) -> list[EndpointIntent]:
         """The engines that are to serve a model."""
         return [
-            each
-            for each in self.endpoints
-            if each.kind is EndpointKind.ENGINE and model_name in each.models
+            endpoint
+            for endpoint in self.endpoints
+            if endpoint.kind is EndpointKind.ENGINE and model_name in endpoint.models
         ]
 
 
--- a/src/coursekeel/intents/_plan.py
+++ b/src/coursekeel/intents/_plan.py
@@ -66,7 +66,7 @@
         return {
             "plan_id": self.plan_id,
             "on_revision": self.on_revision,
-            "changes": [cattrs.unstructure(each) for each in self.changes],
+            "changes": [cattrs.unstructure(change) for change in self.changes],
             "loads": self.loads,
             "load_time_s": self.load_time_s,
             "intent": intent_to_json(self.intent),
@@ -79,53 +79,53 @@
             value["plan_id"],
             value["on_revision"],
             intent_from_json(value["intent"]),
-            tuple(cattrs.structure(each, Change) for each in value["changes"]),
+            tuple(cattrs.structure(change, Change) for change in value["changes"]),
             value["loads"],
             value["load_time_s"],
         )
 
 
 def check_intent(
-    intent: Intent, known_endpoints: frozenset[str], now: Configuration
+    intent: Intent, known_endpoints: frozenset[str], in_force: Configuration
 ) -> list[str]:
     """Every reason why the intent can't work, each with the path to its field."""
     return [
-        *_doubled(intent),
+        *_duplicate_faults(intent),
         *_endpoint_faults(intent, known_endpoints),
         *_service_faults(intent),
         *_team_faults(intent),
         *_class_faults(intent),
-        *_orphaned_models(intent, now.intent),
+        *_orphaned_model_faults(intent, in_force.intent),
     ]
 
 
-def _doubled(intent: Intent) -> list[str]:
-    named = {
-        "models": [each.name for each in intent.models],
-        "endpoints": [each.endpoint_id for each in intent.endpoints],
-        "services": [each.name for each in intent.services],
-        "classes": [each.name for each in intent.classes],
-        "teams": [each.name for each in intent.teams],
+def _duplicate_faults(intent: Intent) -> list[str]:
+    names_by_path = {
+        "models": [model.name for model in intent.models],
+        "endpoints": [endpoint.endpoint_id for endpoint in intent.endpoints],
+        "services": [service.name for service in intent.services],
+        "classes": [policy.name for policy in intent.classes],
+        "teams": [team.name for team in intent.teams],
     }
     return [
         f"{path}[{index}]: {name!r} is named twice"
-        for path, names in named.items()
+        for path, names in names_by_path.items()
         for index, name in enumerate(names)
         if name in names[:index]
     ]
 
 
-def _endpoint_faults(intent: Intent, known: frozenset[str]) -> list[str]:
+def _endpoint_faults(intent: Intent, listed: frozenset[str]) -> list[str]:
     faults = []
-    for index, each in enumerate(intent.endpoints):
+    for index, endpoint in enumerate(intent.endpoints):
         path = f"endpoints[{index}]"
-        if each.endpoint_id not in known:
-            faults.append(f"{path}.endpoint_id: {each.endpoint_id!r} is not listed")
-        if each.kind is EndpointKind.ENGINE and not each.models:
+        if endpoint.endpoint_id not in listed:
+            faults.append(f"{path}.endpoint_id: {endpoint.endpoint_id!r} is not listed")
+        if endpoint.kind is EndpointKind.ENGINE and not endpoint.models:
             faults.append(f"{path}.models: an engine needs at least one model")
         faults += [
             f"{path}.models: unknown model {name!r}"
-            for name in each.models
+            for name in endpoint.models
             if intent.model(name) is None
         ]
     return faults
@@ -167,16 +167,16 @@
 
 
 def _class_faults(intent: Intent) -> list[str]:
-    numbers = ("patience_ms", "first_token_ms", "silence_ms", "queue_limit")
+    positive_fields = ("patience_ms", "first_token_ms", "silence_ms", "queue_limit")
     return [
-        f"classes[{index}].{name}: must be above 0, got {getattr(each, name)}"
-        for index, each in enumerate(intent.classes)
-        for name in (*numbers, "deaths_before_stop", "body_limit_bytes")
-        if getattr(each, name) <= 0
+        f"classes[{index}].{name}: must be above 0, got {getattr(policy, name)}"
+        for index, policy in enumerate(intent.classes)
+        for name in (*positive_fields, "deaths_before_stop", "body_limit_bytes")
+        if getattr(policy, name) <= 0
     ]
 
 
-def _orphaned_models(intent: Intent, before: Intent) -> list[str]:
+def _orphaned_model_faults(intent: Intent, before: Intent) -> list[str]:
     """The last endpoint of a model that a team still uses can't be removed."""
     used = {name for team in intent.teams for name in team.models}
     return [
@@ -189,7 +189,7 @@
 def make_plan(
     plan_id: str,
     intent: Intent,
-    now: Configuration,
+    in_force: Configuration,
     known_endpoints: frozenset[str],
     running: dict[str, int],
 ) -> Plan:
@@ -198,29 +198,29 @@
     ``running`` tells how many requests run on each endpoint, which the plan names
     where they have to be waited for.
     """
-    faults = check_intent(intent, known_endpoints, now)
+    faults = check_intent(intent, known_endpoints, in_force)
     if faults:
         raise RequestInvalid("", "; ".join(faults))
     changes = (
-        *_endpoint_changes(intent, now.intent, running),
-        *_named_changes("model", now.intent.models, intent.models),
-        *_named_changes("service", now.intent.services, intent.services),
-        *_named_changes("team", now.intent.teams, intent.teams),
-        *_named_changes("class", now.intent.classes, intent.classes),
+        *_endpoint_changes(intent, in_force.intent, running),
+        *_named_changes("model", in_force.intent.models, intent.models),
+        *_named_changes("service", in_force.intent.services, intent.services),
+        *_named_changes("team", in_force.intent.teams, intent.teams),
+        *_named_changes("class", in_force.intent.classes, intent.classes),
     )
-    loads = sum(1 for each in changes if each.action == "load")
+    loads = sum(1 for change in changes if change.action == "load")
     rate = max(intent.loads_per_minute, 1)
     load_time_s = math.ceil(loads * SECONDS_PER_MINUTE / rate)
-    return Plan(plan_id, now.revision, intent, changes, loads, load_time_s)
+    return Plan(plan_id, in_force.revision, intent, changes, loads, load_time_s)
 
 
 def _endpoint_changes(
     intent: Intent, before: Intent, running: dict[str, int]
 ) -> list[Change]:
     changes: list[Change] = []
-    for each in intent.endpoints:
-        old = before.endpoint(each.endpoint_id)
-        changes += _one_endpoint(each, old, intent, before, running)
+    for new in intent.endpoints:
+        old = before.endpoint(new.endpoint_id)
+        changes += _changes_of_endpoint(new, old, intent, before, running)
     for old in before.endpoints:
         if intent.endpoint(old.endpoint_id) is None:
             count = running.get(old.endpoint_id, 0)
@@ -229,18 +229,26 @@
     return changes
 
 
-def _one_endpoint(
+def _changes_of_endpoint(
     new: EndpointIntent,
     old: EndpointIntent | None,
     intent: Intent,
     before: Intent,
     running: dict[str, int],
 ) -> list[Change]:
-    wanted = {str(m.serves) for m in intent.models if m.name in new.models}
-    held = {str(m.serves) for m in before.models if old and m.name in old.models}
-    changes = [Change("load", new.endpoint_id, name) for name in sorted(wanted - held)]
+    new_models = {
+        str(model.serves) for model in intent.models if model.name in new.models
+    }
+    old_models = {
+        str(model.serves) for model in before.models if old and model.name in old.models
+    }
+    changes = [
+        Change("load", new.endpoint_id, name)
+        for name in sorted(new_models - old_models)
+    ]
     changes += [
-        Change("unload", new.endpoint_id, name) for name in sorted(held - wanted)
+        Change("unload", new.endpoint_id, name)
+        for name in sorted(old_models - new_models)
     ]
     if old is None:
         changes.insert(0, Change("add", new.endpoint_id, new.kind.value))
@@ -256,8 +264,8 @@
 def _named_changes(
     subject: str, before: tuple[Any, ...], after: tuple[Any, ...]
 ) -> list[Change]:
-    old = {each.name: each for each in before}
-    new = {each.name: each for each in after}
+    old = {item.name: item for item in before}
+    new = {item.name: item for item in after}
     added = [Change("add", f"{subject} {name}") for name in new if name not in old]
     removed = [Change("remove", f"{subject} {name}") for name in old if name not in new]
     changed = [
--- a/src/coursekeel/intents/_rollout.py
+++ b/src/coursekeel/intents/_rollout.py
@@ -38,11 +38,11 @@
         instance_id
         for instance_id in sorted(set(listed))
         if instance_id not in known_stopped
-        and not _clear(revision, evidence.get(instance_id))
+        and not _cannot_serve_older(revision, evidence.get(instance_id))
     ]
 
 
-def _clear(revision: int, evidence: PeerEvidence | None) -> bool:
+def _cannot_serve_older(revision: int, evidence: PeerEvidence | None) -> bool:
     if evidence is None:
         return False
     return evidence.applied_revision >= revision or evidence.refused_connection
--- a/src/coursekeel/intents/_store.py
+++ b/src/coursekeel/intents/_store.py
@@ -92,84 +92,91 @@
         if plan_row is None:
             return UnknownPlan()
         current = rows.rows.get(CONFIGURATION_KEY)
-        settled = _settled(plan_row, current)
-        if settled is not None:
-            return settled
+        known_outcome = _known_outcome(plan_row, current)
+        if known_outcome is not None:
+            return known_outcome
         return await self._write(Plan.from_json(plan_row.value), plan_row, current)
 
     async def _write(
         self, plan: Plan, plan_row: Row, current: Row | None
     ) -> Confirmed | Stale | StoreSilent | UnknownPlan:
         configuration = Configuration(plan.on_revision + 1, plan.intent, plan.plan_id)
-        value = {**configuration.to_json(), "before": _history(current)}
-        done = {**plan_row.value, "confirmed_revision": configuration.revision}
+        value = {**configuration.to_json(), "before": _previous_revision(current)}
+        confirmed_plan = {
+            **plan_row.value,
+            "confirmed_revision": configuration.revision,
+        }
         write = Transaction(
             expected={
                 CONFIGURATION_KEY: current.version if current else 0,
                 plan_row.key: plan_row.version,
             },
-            writes={CONFIGURATION_KEY: value, plan_row.key: done},
+            writes={CONFIGURATION_KEY: value, plan_row.key: confirmed_plan},
         )
         outcome = await self.platform.transact(write)
         match outcome:
             case Committed():
                 return Confirmed(configuration.revision)
             case Conflict():
-                return await self._after(
+                return await self._read_outcome(
                     plan.plan_id, "lost a race, and the store then"
                 )
             case Unavailable():
                 return StoreSilent(False, outcome.reason)
             case _:
-                return await self._after(plan.plan_id, outcome.reason)
+                return await self._read_outcome(plan.plan_id, outcome.reason)
 
-    async def _after(
+    async def _read_outcome(
         self, plan_id: str, reason: str
     ) -> Confirmed | Stale | StoreSilent | UnknownPlan:
         """Read back what became of a write whose outcome isn't known."""
         rows = await self.platform.read([CONFIGURATION_KEY, plan_key(plan_id)])
         if isinstance(rows, Unavailable):
             return StoreSilent(True, f"{reason}: {rows.reason}")
-        return _read_back(rows, plan_id, reason)
+        return _outcome_from_rows(rows, plan_id, reason)
 
 
-def _read_back(
+def _outcome_from_rows(
     rows: Rows, plan_id: str, reason: str
 ) -> Confirmed | Stale | StoreSilent | UnknownPlan:
     plan_row = rows.rows.get(plan_key(plan_id))
     if plan_row is None:
         return UnknownPlan()
-    settled = _settled(plan_row, rows.rows.get(CONFIGURATION_KEY))
+    known_outcome = _known_outcome(plan_row, rows.rows.get(CONFIGURATION_KEY))
     # The write may still be on its way, so that it isn't there proves nothing yet;
     # confirming again is safe, since the compare-and-set lets one write through.
-    return settled or StoreSilent(True, reason)
+    return known_outcome or StoreSilent(True, reason)
 
 
-def _settled(plan_row: Row, current: Row | None) -> Confirmed | Stale | None:
+def _known_outcome(plan_row: Row, current: Row | None) -> Confirmed | Stale | None:
     """What the table already says of a plan: confirmed, overtaken, or nothing yet."""
     confirmed = plan_row.value.get("confirmed_revision")
     if confirmed is not None:
         return Confirmed(confirmed)
     if current is None or current.value["revision"] == plan_row.value["on_revision"]:
         return None
-    return Stale(current.value["revision"], _since(plan_row, current))
+    return Stale(current.value["revision"], _changes_since(plan_row, current))
 
 
-def _since(plan_row: Row, current: Row) -> tuple[Change, ...]:
+def _changes_since(plan_row: Row, current: Row) -> tuple[Change, ...]:
     """What changed between the plan's revision and the one in force."""
     on_revision = plan_row.value["on_revision"]
-    before = {each["revision"]: each for each in current.value.get("before", [])}
-    old = before.get(on_revision)
+    revisions = {
+        earlier["revision"]: earlier for earlier in current.value.get("before", [])
+    }
+    old = revisions.get(on_revision)
     if old is None:
         detail = f"revision {on_revision} is too old to compare"
         return (Change("change", "configuration", detail),)
-    now = Configuration.from_json(current.value)
-    known = frozenset(each.endpoint_id for each in now.intent.endpoints)
-    return make_plan("", now.intent, Configuration.from_json(old), known, {}).changes
+    in_force = Configuration.from_json(current.value)
+    listed = frozenset(endpoint.endpoint_id for endpoint in in_force.intent.endpoints)
+    return make_plan(
+        "", in_force.intent, Configuration.from_json(old), listed, {}
+    ).changes
 
 
-def _history(current: Row | None) -> list[dict[str, object]]:
+def _previous_revision(current: Row | None) -> list[dict[str, object]]:
     """The last revision stays beside the new one, to say what changed since."""
     if current is None:
         return [{**Configuration().to_json()}]
-    return [{key: each for key, each in current.value.items() if key != "before"}]
+    return [{key: item for key, item in current.value.items() if key != "before"}]
