--- a/src/coursekeel/calls/__init__.py
+++ b/src/coursekeel/calls/__init__.py
@@ -1,4 +1,4 @@
-"""Calls to plain services, and how those that may not be repeated run at most once."""
+"""Calls to plain services; those that aren't repeatable run at most once."""
 
 from coursekeel.calls._call import CallCore
 from coursekeel.calls._claims import ClaimRow, ClaimState, claim_key, fingerprint_of
--- a/src/coursekeel/calls/_call.py
+++ b/src/coursekeel/calls/_call.py
@@ -1,8 +1,9 @@
-"""One call to a plain service: a deterministic core that sends it at most once.
+"""One call to a plain service: a deterministic core without clock or sockets.
 
-A call that may not be repeated and carries the caller's key is sent only under a claim
-in the table. Whatever is said of a call's fate is what can be proved: `not_run` needs
-a refusal that stands in the table, or an id that only this entry ever knew.
+Rule: a call that isn't repeatable runs at most once. If it carries the caller's key, it
+is sent only after a claim row was inserted for the key. The reply claims only what is
+guaranteed: `not_run` needs a refusal recorded in the table, or a call without a key,
+which no other process can have sent.
 """
 
 from attrs import define, field
@@ -43,7 +44,12 @@
 
 @define(eq=False)
 class CallCore:
-    """Decides one call. ``claim`` is the row to insert, None where none is needed."""
+    """Handles the events of one call.
+
+    ``claim`` is the row to insert before sending, None if none is needed. ``keyed``
+    says that the request carries the caller's key, so that another entry may have run
+    it. ``may_have_run`` is true once a send may have reached an endpoint.
+    """
 
     policy: CallPolicy
     claim: ClaimRow | None
@@ -58,11 +64,11 @@
 
     @property
     def settled(self) -> bool:
-        """Say whether the call is done with."""
+        """Whether the call is in its final state."""
         return self._machine.state == "settled"
 
     def handle(self, event: CallEvent) -> list[CallAction]:
-        """Take one event and say what is to be done."""
+        """Handle one event and return the actions for the shell, in order."""
         match event:
             case Begin():
                 return self._begin()
@@ -106,8 +112,8 @@
             return [Reply(self._unknown_reply("store_unavailable"))]
         row = outcome.rows.get(claim.key)
         if row is None:
-            # The claim may still be on its way into the table, and a send without it
-            # could meet a second one.
+            # The claim's write may still take effect. Sending without the claim could
+            # run the call twice.
             self._machine.feed("claim_unsure")
             return [Reply(self._unknown_reply("claim_unsure"))]
         if row.value["attempt_id"] == claim.attempt_id:
@@ -132,12 +138,12 @@
         if self._may_try_again(outcome):
             return self._send()
         if self._last_failure is not None and not isinstance(outcome, ServiceReply):
-            # A failure that the service gave says more than the loss of a later try.
+            # A failure reply of the service is more specific than a later lost try.
             outcome = self._last_failure
         return self._finish(outcome)
 
     def _finish(self, outcome: ServiceReply | SendOutcome) -> list[CallAction]:
-        """No further try: the call's fate is what the last one proves."""
+        """Settle the call with the outcome of its last try."""
         match outcome:
             case ServiceReply():
                 self._machine.feed("answered")
@@ -176,10 +182,10 @@
                 return False
 
     def _settle(self, reply: CallReply) -> list[CallAction]:
-        """A claimed call's fate is recorded before a refusal is given out.
+        """Reply to the caller and record the outcome of a claimed call.
 
-        A result is given out at once: the caller has a right to it even if the table
-        can't take it now. A refusal becomes true only by standing in the table.
+        A result is sent at once, even if the table can't be written now. A refusal is
+        recorded first, because it is guaranteed only once the table holds it.
         """
         self._reply = reply
         if self.claim is None:
@@ -191,13 +197,13 @@
         return [Reply(reply), record]
 
     def _reply_without_claim(self, reply: CallReply) -> CallReply:
-        """With a caller's key, another entry may have run what this one didn't."""
+        """Report a keyed call's refusal as unknown: another entry may have run it."""
         if reply.run is RunState.NOT_RUN and self.keyed:
             return self._unknown_reply(reply.code)
         return reply
 
     def _handle_recorded(self, outcome: TransactOutcome) -> list[CallAction]:
-        """A refusal that doesn't stand in the table isn't given out."""
+        """Send a refusal if it was recorded, otherwise report an unknown outcome."""
         reply = self._reply
         self._machine.feed("recorded")
         if reply is None or reply.run is not RunState.NOT_RUN:
@@ -207,7 +213,7 @@
         return [Reply(self._unknown_reply("store_unavailable"))]
 
     def _reply_of_first_call(self, row: Row | None) -> CallReply:
-        """What the first call with this key came to."""
+        """The reply to a call whose key was claimed first by the call in ``row``."""
         if row is None:
             return self._unknown_reply("claim_unsure")
         first = ClaimRow.from_row(row.key, row.value)
--- a/src/coursekeel/calls/_claims.py
+++ b/src/coursekeel/calls/_claims.py
@@ -1,4 +1,4 @@
-"""The table rows that let a keyed call run at most once."""
+"""Table rows that let a keyed call run at most once."""
 
 from base64 import b64decode, b64encode
 from enum import Enum
@@ -12,13 +12,12 @@
 
 __all__ = ["ClaimRow", "ClaimState", "claim_key", "fingerprint_of"]
 
-# The largest reply that a claim's row keeps for a second call with its key. Rows are
-# small, and a booking's confirmation is some hundred bytes.
+# The largest reply body that a claim's row stores for a second call with its key.
 _MAX_STORED_BODY_BYTES = 64 * 1024
 
 
 class ClaimState(Enum):
-    """What a claim says of its call."""
+    """The state of a claimed call."""
 
     RUNNING = "running"
     DONE = "done"
@@ -34,19 +33,22 @@
 
 
 def claim_key(team: str, service: str, request_key: str) -> str:
-    """The table key of a call's claim; teams can't meet each other's keys."""
+    """The table key of a call's claim; request keys are separate for each team."""
     return f"calls/{team}/{service}/{request_key}"
 
 
 def fingerprint_of(method: str, path: str, body: bytes) -> str:
-    """What a second call with the key must share with the first."""
+    """The hash of a request, by which a key's reuse for another request is detected."""
     return xxhash.xxh128_hexdigest(f"{method} {path}\n".encode() + body)
 
 
 @frozen
 class ClaimRow:
-    """A claim. ``attempt_id`` is known to one attempt only, so that its writer can
-    tell its own row from another's after a lost answer.
+    """A claim on a caller's key.
+
+    ``attempt_id`` is unique to one call, so that the writer recognizes its own row
+    after a write of unknown outcome. ``owner`` is the writing entry's process
+    incarnation, and ``fingerprint`` the request's hash.
     """
 
     key: str
@@ -60,11 +62,11 @@
     expires_at_s: int = 0
 
     def settled(self, run: RunState, reply: ServiceReply | None) -> "ClaimRow":
-        """The row that keeps the call's fate for a second call with the key."""
+        """The row that records the call's outcome for a second call with the key."""
         if reply is None:
             return evolve(self, state=_STATE_AFTER_RUN[run])
         if len(reply.body) > _MAX_STORED_BODY_BYTES:
-            # The call ran, and that must be kept; the body is more than a row holds.
+            # The body is too large for a row, but that the call ran must be recorded.
             return evolve(self, state=ClaimState.DONE, status=reply.status)
         return evolve(
             self,
@@ -75,7 +77,7 @@
         )
 
     def to_row(self) -> dict[str, Any]:
-        """The row's value as the table keeps it."""
+        """The row's value as the table stores it."""
         return {
             "attempt_id": self.attempt_id,
             "owner": self.owner,
@@ -89,7 +91,7 @@
 
     @classmethod
     def from_row(cls, key: str, value: dict[str, Any]) -> "ClaimRow":
-        """Read a row back."""
+        """Decode a row's value."""
         return cls(
             key,
             value["attempt_id"],
--- a/src/coursekeel/calls/_messages.py
+++ b/src/coursekeel/calls/_messages.py
@@ -1,4 +1,4 @@
-"""What a call's core is told, and what it asks for."""
+"""Events that a call's core handles, and actions that it returns to its shell."""
 
 from enum import Enum
 
@@ -30,10 +30,11 @@
 
 @frozen
 class CallPolicy:
-    """How often an endpoint may be tried, by whether the route may be repeated.
+    """Limits on the tries of one call.
 
-    ``tries`` bounds the endpoints that are sent the call, and ``unreached_tries``
-    those that can't be reached while one looks for the first.
+    ``repeatable`` allows a second send after one that may have run. ``tries`` bounds
+    the sends that reached an endpoint or may have, and ``unreached_tries`` those that
+    certainly reached none.
     """
 
     repeatable: bool
@@ -43,9 +44,9 @@
 
 
 class SendOutcome(Enum):
-    """How a send ended that brought no reply.
+    """How a send without a reply ended.
 
-    A call that was turned away reached an endpoint, which says it didn't run.
+    With ``TURNED_AWAY`` the endpoint reported that it didn't run the call.
     """
 
     NOT_SENT = "not_sent"
@@ -56,33 +57,33 @@
 
 @frozen
 class Begin:
-    """The call arrived."""
+    """The caller's request arrived."""
 
 
 @frozen
 class ClaimAnswered:
-    """The table answered the claim, or didn't."""
+    """The claim's write ended, perhaps without a known outcome."""
 
     outcome: TransactOutcome
 
 
 @frozen
 class ReadBackAnswered:
-    """The claim's row was read after an unsure write."""
+    """The claim's row was read after a write of unknown outcome."""
 
     outcome: Rows | Unavailable
 
 
 @frozen
 class SendEnded:
-    """The send came to its end."""
+    """A send ended, with or without a reply."""
 
     outcome: ServiceReply | SendOutcome
 
 
 @frozen
 class Recorded:
-    """The call's result was written, or could not be."""
+    """The write of the call's outcome ended."""
 
     outcome: TransactOutcome
 
@@ -92,7 +93,7 @@
 
 @frozen
 class WriteClaim:
-    """Insert this row if no row stands under its key."""
+    """Insert this row if its key has no row."""
 
     row: ClaimRow
 
@@ -106,12 +107,12 @@
 
 @frozen
 class Send:
-    """Send the call, to an endpoint that wasn't tried yet if there is one."""
+    """Send the call, to an endpoint that wasn't tried yet if possible."""
 
 
 @frozen
 class Record:
-    """Replace the claim at ``version`` by this row."""
+    """Replace the claim by this row, if the claim is still at ``version``."""
 
     row: ClaimRow
     version: int
@@ -119,7 +120,10 @@
 
 @frozen
 class CallReply:
-    """The final word to the caller: the service's reply, or a truthful refusal."""
+    """The reply to the caller: the service's own, or the error ``code``.
+
+    ``repeated`` says that it is the outcome of an earlier call with the same key.
+    """
 
     run: RunState
     code: str = ""
@@ -130,7 +134,7 @@
 
 @frozen
 class Reply:
-    """Answer the caller."""
+    """Send the reply to the caller."""
 
     reply: CallReply
 
--- a/src/coursekeel/calls/_reply.py
+++ b/src/coursekeel/calls/_reply.py
@@ -1,16 +1,16 @@
-"""What a service answered."""
+"""The reply of a plain service."""
 
 from attrs import frozen
 
 __all__ = ["ServiceReply"]
 
-# The first status of a server's own failures (RFC 9110). A core imports no http.
+# The first status code of server errors (RFC 9110). Cores don't import `http`.
 _FIRST_SERVER_ERROR = 500
 
 
 @frozen
 class ServiceReply:
-    """What the service answered; ``headers`` are those to pass on, if any are."""
+    """A service's reply; ``headers`` are those to forward to the caller."""
 
     status: int
     content_type: str
@@ -19,5 +19,5 @@
 
     @property
     def failed(self) -> bool:
-        """Say whether the service itself failed, so that another may do better."""
+        """Whether it is a server error, so that another endpoint may succeed."""
         return self.status >= _FIRST_SERVER_ERROR
--- a/src/coursekeel/intents/__init__.py
+++ b/src/coursekeel/intents/__init__.py
@@ -1,4 +1,4 @@
-"""Intents, plans and the one configuration in force."""
+"""Intents, plans and the configuration in force."""
 
 from coursekeel.intents._codec import intent_from_json, intent_to_json
 from coursekeel.intents._model import (
--- a/src/coursekeel/intents/_codec.py
+++ b/src/coursekeel/intents/_codec.py
@@ -1,4 +1,4 @@
-"""Read intents from JSON, with every fault found at once and named by its path."""
+"""Convert intents from and to JSON; errors list every fault with its path."""
 
 from typing import Any
 
@@ -32,9 +32,9 @@
 
 
 def intent_from_json(value: Any) -> Intent:
-    """Read an intent; raises `RequestInvalid` that names every fault.
+    """Parse an intent; raises `RequestInvalid` with every fault.
 
-    A class may name a ``profile``, whose values stand where it gives none.
+    A class may name a ``profile``, whose values are the defaults of its other fields.
     """
     if not isinstance(value, dict):
         raise RequestInvalid("", f"an intent is a JSON object, got {value!r:.40}")
@@ -63,6 +63,6 @@
 
 
 def intent_to_json(intent: Intent) -> dict[str, Any]:
-    """The JSON form of an intent, which `intent_from_json` reads back."""
+    """The JSON form of an intent, which `intent_from_json` parses."""
     raw: dict[str, Any] = _CONVERTER.unstructure(intent)
     return {key: item for key, item in raw.items() if not key.startswith("_")}
--- a/src/coursekeel/intents/_model.py
+++ b/src/coursekeel/intents/_model.py
@@ -1,4 +1,4 @@
-"""What an operator wants to run: models, endpoints, services, teams and classes."""
+"""The intent of an operator: models, endpoints, services, teams and classes."""
 
 from enum import Enum
 from typing import Any
@@ -24,14 +24,14 @@
 
 
 class EndpointKind(Enum):
-    """Model engines generate; plain services answer calls."""
+    """Whether an endpoint is a model engine or a plain service."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Delivery(Enum):
-    """When a token may leave for the caller."""
+    """When a token may be sent to the caller: at once, or once it is journalled."""
 
     AT_ONCE = "at_once"
     AFTER_JOURNAL = "after_journal"
@@ -39,7 +39,7 @@
 
 @frozen
 class ModelName:
-    """A model with its adapter and version, which together fix what it generates."""
+    """A model with its adapter and version, which together determine its tokens."""
 
     model: str
     adapter: str = ""
@@ -51,7 +51,7 @@
 
 @frozen
 class ModelIntent:
-    """A model in use, by the name that callers ask for."""
+    """A model in use; callers request it by ``name``."""
 
     name: str
     serves: ModelName
@@ -59,9 +59,10 @@
 
 @frozen
 class EndpointIntent:
-    """One endpoint, what it is for, and whether it checks who orders it.
+    """One endpoint and what it serves.
 
-    ``group`` names the lease under which orders for it are given.
+    ``group`` names the lease whose holder may send it orders. ``checks_epochs`` says
+    that the endpoint rejects orders with an old epoch of that lease.
     """
 
     endpoint_id: str
@@ -74,7 +75,7 @@
 
 @frozen
 class RouteIntent:
-    """A service's route; a call is repeatable only where the intent says so."""
+    """A route of a service; ``repeatable`` calls may be sent more than once."""
 
     path_prefix: str
     methods: tuple[str, ...] = ("GET",)
@@ -83,7 +84,7 @@
 
 @frozen
 class ServiceIntent:
-    """A plain service: its endpoints and its routes."""
+    """A plain service with its endpoints and routes."""
 
     name: str
     endpoints: tuple[str, ...]
@@ -94,10 +95,11 @@
 
 @frozen
 class ClassPolicy:
-    """How requests of one class are treated.
+    """Limits and priorities of one request class.
 
-    ``rank`` orders the classes, lowest first; ``patience_ms`` bounds how long a
-    request waits for an endpoint, at its start and after each loss.
+    ``rank`` orders the classes, lowest first. ``patience_ms`` is the longest wait for
+    an endpoint, at the start and after each loss. ``keep_s`` is how long results and
+    claims are kept.
     """
 
     name: str
@@ -115,7 +117,7 @@
     retry_share: float = 0.2
 
     def answer_policy(self) -> AnswerPolicy:
-        """The part of the policy that an answer's core needs."""
+        """The part of the policy that `AnswerCore` needs."""
         return AnswerPolicy(
             patience_ms=self.patience_ms,
             first_token_ms=self.first_token_ms,
@@ -127,7 +129,7 @@
 
 @frozen
 class TeamIntent:
-    """A team, the hashes of its bearer keys, what it may use, and its limits."""
+    """A team: its API keys' SHA-256 hashes, what it may use, and its limits."""
 
     name: str
     key_hashes: tuple[str, ...]
@@ -140,7 +142,7 @@
 
 @frozen
 class Intent:
-    """The whole of what should run, as one value."""
+    """Everything that should run, as one value."""
 
     models: tuple[ModelIntent, ...] = ()
     endpoints: tuple[EndpointIntent, ...] = ()
@@ -160,32 +162,32 @@
         )
 
     def model(self, name: str) -> ModelIntent | None:
-        """The model that callers know by this name."""
+        """The model that callers request by this name, if there is one."""
         model: ModelIntent | None = self._index["models"].get(name)
         return model
 
     def endpoint(self, endpoint_id: str) -> EndpointIntent | None:
-        """The endpoint of this id."""
+        """The endpoint with this id, if there is one."""
         endpoint: EndpointIntent | None = self._index["endpoints"].get(endpoint_id)
         return endpoint
 
     def service(self, name: str) -> ServiceIntent | None:
-        """The service of this name."""
+        """The service with this name, if there is one."""
         service: ServiceIntent | None = self._index["services"].get(name)
         return service
 
     def request_class(self, name: str) -> ClassPolicy:
-        """The class of this name, or one with the defaults."""
+        """The class with this name, or one with default values."""
         policy: ClassPolicy | None = self._index["classes"].get(name)
         return policy or ClassPolicy(name)
 
     def team(self, name: str) -> TeamIntent | None:
-        """The team of this name."""
+        """The team with this name, if there is one."""
         team: TeamIntent | None = self._index["teams"].get(name)
         return team
 
     def engines_of(self, model_name: str) -> list[EndpointIntent]:
-        """The engines that are to serve a model."""
+        """The engines that should serve a model."""
         return [
             endpoint
             for endpoint in self.endpoints
--- a/src/coursekeel/intents/_plan.py
+++ b/src/coursekeel/intents/_plan.py
@@ -1,7 +1,7 @@
-"""A plan: what a new intent would change, and what it would cost.
+"""Plans: the changes that a new intent makes, and the time that its loads take.
 
-Planning is pure: it looks at the configuration in force and at what is known of the
-endpoints, and refuses an intent that can't work before anything has changed.
+Planning has no side effects. It compares the intent with the configuration in force
+and the listed endpoints, and rejects an intent that can't work.
 """
 
 import math
@@ -20,14 +20,14 @@
 
 @frozen
 class Configuration:
-    """The intent in force, with the revision that grows by one at each change."""
+    """The intent in force; ``revision`` grows by one with each change."""
 
     revision: int = 0
     intent: Intent = field(factory=Intent)
     plan_id: str = ""
 
     def to_json(self) -> dict[str, Any]:
-        """The form in which a configuration is kept in the table."""
+        """The configuration as the table stores it."""
         return {
             "revision": self.revision,
             "plan_id": self.plan_id,
@@ -36,7 +36,7 @@
 
     @classmethod
     def from_json(cls, value: dict[str, Any]) -> "Configuration":
-        """Read a configuration back."""
+        """Decode a stored configuration."""
         intent = intent_from_json(value["intent"])
         return cls(value["revision"], intent, value["plan_id"])
 
@@ -52,7 +52,10 @@
 
 @frozen
 class Plan:
-    """What confirming would do, on the revision that the plan was made on."""
+    """The changes that confirming makes to revision ``on_revision``.
+
+    ``loads`` counts the models to load, which together take about ``load_time_s``.
+    """
 
     plan_id: str
     on_revision: int
@@ -62,7 +65,7 @@
     load_time_s: int
 
     def to_json(self) -> dict[str, Any]:
-        """The plan as the operator and the table see it."""
+        """The plan as operators receive it and the table stores it."""
         return {
             "plan_id": self.plan_id,
             "on_revision": self.on_revision,
@@ -74,7 +77,7 @@
 
     @classmethod
     def from_json(cls, value: dict[str, Any]) -> "Plan":
-        """Read a plan back from the table."""
+        """Decode a stored plan."""
         return cls(
             value["plan_id"],
             value["on_revision"],
@@ -88,7 +91,10 @@
 def check_intent(
     intent: Intent, known_endpoints: frozenset[str], in_force: Configuration
 ) -> list[str]:
-    """Every reason why the intent can't work, each with the path to its field."""
+    """All reasons why the intent can't work, each with the path of its field.
+
+    ``known_endpoints`` are the ids of the listed endpoints.
+    """
     return [
         *_duplicate_faults(intent),
         *_endpoint_faults(intent, known_endpoints),
@@ -177,7 +183,7 @@
 
 
 def _orphaned_model_faults(intent: Intent, before: Intent) -> list[str]:
-    """The last endpoint of a model that a team still uses can't be removed."""
+    """Models that a team still uses but whose last engine would be removed."""
     used = {name for team in intent.teams for name in team.models}
     return [
         f"endpoints: {name!r} is in use and would lose its last endpoint"
@@ -193,10 +199,11 @@
     known_endpoints: frozenset[str],
     running: dict[str, int],
 ) -> Plan:
-    """Plan a change; raises `RequestInvalid` with every reason why it can't work.
+    """Plan a change; raises `RequestInvalid` with all reasons why it can't work.
 
-    ``running`` tells how many requests run on each endpoint, which the plan names
-    where they have to be waited for.
+    ``known_endpoints`` are the ids of the listed endpoints. ``running`` has the number
+    of running requests by endpoint id, which the plan states for endpoints that have to
+    be drained.
     """
     faults = check_intent(intent, known_endpoints, in_force)
     if faults:
--- a/src/coursekeel/intents/_rollout.py
+++ b/src/coursekeel/intents/_rollout.py
@@ -1,8 +1,8 @@
-"""From committed to accepted: who must have applied a revision before it is in force.
+"""Rollout of a configuration revision from committed to accepted.
 
-A revision is accepted when every instance that may be serving has acknowledged it.
-Accepting on commit would call a change in force while a cut-off instance still runs
-the old one; waiting for a majority would be a consensus group by another name.
+Rule: a revision is accepted once every instance that may be serving has applied it. A
+commit or a majority isn't enough, because a partitioned instance may still serve with
+the old revision.
 """
 
 from collections.abc import Iterable
@@ -16,10 +16,10 @@
 
 @frozen
 class PeerEvidence:
-    """What is known of one instance while a revision spreads.
+    """The last state of one instance that the observer has seen.
 
-    ``refused_connection`` means that its address refused: it serves nobody, and reads
-    the store before it is ready again.
+    ``refused_connection`` says that its address refuses connections. Such an instance
+    serves no requests and reads the store before it becomes ready again.
     """
 
     instance_id: str
@@ -33,7 +33,10 @@
     evidence: dict[str, PeerEvidence],
     known_stopped: frozenset[str] = frozenset(),
 ) -> list[str]:
-    """The listed instances that may still serve with a lower revision."""
+    """The listed instances that may still serve with a revision below ``revision``.
+
+    ``evidence`` is by instance id; operators report ``known_stopped`` instances.
+    """
     return [
         instance_id
         for instance_id in sorted(set(listed))
@@ -50,7 +53,10 @@
 
 @define
 class Rollout:
-    """One revision's way to being accepted, followed by the instance that confirmed."""
+    """Progress of one revision, tracked by the entry that confirmed its plan.
+
+    ``waiting`` has the ids of the instances that may still serve an older revision.
+    """
 
     revision: int
     plan_id: str
@@ -64,13 +70,13 @@
         return self.machine.state
 
     def committed(self) -> None:
-        """The table holds the revision."""
+        """Record that the table holds the revision."""
         self.machine.feed("confirmed")
 
     def review(
         self, listed: Iterable[str], evidence: dict[str, PeerEvidence]
     ) -> list[str]:
-        """Look at the evidence; accept when nobody is waited for."""
+        """Update `waiting` and return it; accept the revision if it is empty."""
         self.waiting = waits_for(self.revision, listed, evidence, self.known_stopped)
         if not self.waiting and self.machine.state == "committed":
             self.machine.feed("acknowledged")
--- a/src/coursekeel/intents/_store.py
+++ b/src/coursekeel/intents/_store.py
@@ -1,4 +1,4 @@
-"""Confirm plans by compare-and-set on the one configuration row."""
+"""Confirm plans by compare-and-set on the configuration row."""
 
 from attrs import define, frozen
 
@@ -28,14 +28,18 @@
 
 @frozen
 class Confirmed:
-    """The plan is committed as ``revision``; the same answer each time it is asked."""
+    """The plan is committed as ``revision``; confirming it again returns the same."""
 
     revision: int
 
 
 @frozen
 class Stale:
-    """Another change came first; ``changes`` is what it did since the plan."""
+    """Another plan was confirmed first.
+
+    ``in_force`` is the current revision, and ``changes`` are those made since the
+    plan's base revision.
+    """
 
     in_force: int
     changes: tuple[Change, ...]
@@ -43,7 +47,7 @@
 
 @frozen
 class StoreSilent:
-    """The store doesn't answer. If ``unsure``, the confirm may have taken effect."""
+    """The store doesn't respond; if ``unsure``, the confirm may have taken effect."""
 
     unsure: bool
     reason: str
@@ -51,7 +55,7 @@
 
 @frozen
 class UnknownPlan:
-    """No plan of this id is kept."""
+    """The store has no plan with this id."""
 
 
 def plan_key(plan_id: str) -> str:
@@ -61,12 +65,12 @@
 
 @define
 class ConfigurationStore:
-    """Reads and writes the configuration; every step survives a lost answer."""
+    """Reads and writes the configuration; each step may be repeated after an error."""
 
     platform: Platform
 
     async def read(self) -> Configuration | Unavailable:
-        """The configuration that the table holds; revision 0 if it holds none."""
+        """Read the stored configuration; it has revision 0 if none is stored."""
         rows = await self.platform.read([CONFIGURATION_KEY])
         if isinstance(rows, Unavailable):
             return rows
@@ -74,7 +78,7 @@
         return Configuration() if row is None else Configuration.from_json(row.value)
 
     async def keep(self, plan: Plan) -> Committed | StoreSilent:
-        """Keep a plan until it is confirmed."""
+        """Store a plan, so that it can be confirmed later."""
         write = Transaction(writes={plan_key(plan.plan_id): plan.to_json()})
         outcome = await self.platform.transact(write)
         if isinstance(outcome, Committed):
@@ -84,7 +88,7 @@
     async def confirm(
         self, plan_id: str
     ) -> Confirmed | Stale | StoreSilent | UnknownPlan:
-        """Put a plan in the table as the next revision, at most once."""
+        """Commit a plan as the next revision, at most once."""
         rows = await self.platform.read([CONFIGURATION_KEY, plan_key(plan_id)])
         if isinstance(rows, Unavailable):
             return StoreSilent(False, rows.reason)
@@ -119,7 +123,7 @@
                 return Confirmed(configuration.revision)
             case Conflict():
                 return await self._read_outcome(
-                    plan.plan_id, "lost a race, and the store then"
+                    plan.plan_id, "a concurrent write conflicted"
                 )
             case Unavailable():
                 return StoreSilent(False, outcome.reason)
@@ -129,7 +133,10 @@
     async def _read_outcome(
         self, plan_id: str, reason: str
     ) -> Confirmed | Stale | StoreSilent | UnknownPlan:
-        """Read back what became of a write whose outcome isn't known."""
+        """Determine the outcome of a write by reading the rows back.
+
+        ``reason`` says why the outcome is unknown.
+        """
         rows = await self.platform.read([CONFIGURATION_KEY, plan_key(plan_id)])
         if isinstance(rows, Unavailable):
             return StoreSilent(True, f"{reason}: {rows.reason}")
@@ -143,13 +150,13 @@
     if plan_row is None:
         return UnknownPlan()
     known_outcome = _known_outcome(plan_row, rows.rows.get(CONFIGURATION_KEY))
-    # The write may still be on its way, so that it isn't there proves nothing yet;
-    # confirming again is safe, since the compare-and-set lets one write through.
+    # The write may still take effect although the rows don't show it yet. Confirming
+    # again is safe, because the compare-and-set lets only one write through.
     return known_outcome or StoreSilent(True, reason)
 
 
 def _known_outcome(plan_row: Row, current: Row | None) -> Confirmed | Stale | None:
-    """What the table already says of a plan: confirmed, overtaken, or nothing yet."""
+    """The outcome that the rows show: confirmed, stale, or None if still open."""
     confirmed = plan_row.value.get("confirmed_revision")
     if confirmed is not None:
         return Confirmed(confirmed)
@@ -159,7 +166,7 @@
 
 
 def _changes_since(plan_row: Row, current: Row) -> tuple[Change, ...]:
-    """What changed between the plan's revision and the one in force."""
+    """The changes between the plan's base revision and the one in force."""
     on_revision = plan_row.value["on_revision"]
     revisions = {
         earlier["revision"]: earlier for earlier in current.value.get("before", [])
@@ -176,7 +183,7 @@
 
 
 def _previous_revision(current: Row | None) -> list[dict[str, object]]:
-    """The last revision stays beside the new one, to say what changed since."""
+    """The previous revision, stored beside the new one to compare stale plans with."""
     if current is None:
         return [{**Configuration().to_json()}]
     return [{key: item for key, item in current.value.items() if key != "before"}]
