--- a/tests/common/answer_world.py
+++ b/tests/common/answer_world.py
@@ -1,7 +1,7 @@
-"""One answer among engines that fail, stepped by a generated schedule.
+"""One answer on simulated engines that fail, driven by a generated schedule.
 
-Every token is made by `standins._tokens.Chain`, so a splice of two runs shows whatever
-the ledger believed.
+Tokens come from `standins._tokens.Chain`, so that the check recognizes a sequence that
+was spliced from two runs.
 """
 
 import math
@@ -36,12 +36,12 @@
 from standins._tokens import SALTS, Chain, first_foreign_token, prompt_digest, text_of
 
 REQUEST = {"prompt": "a dossier", "seed": 3}
-SERVES = Expected("dossier", "", "1")
+EXPECTED = Expected("dossier", "", "1")
 POLICY = AnswerPolicy(patience_ms=5_000, first_token_ms=1_000, silence_ms=500)
 
 
 class Run:
-    """A generation on one engine, which outlives its reader."""
+    """A run on one engine, which continues when its reader disconnects."""
 
     def __init__(self, endpoint: str, prefix: list[int], salt: int, label: str):
         self.endpoint = endpoint
@@ -60,7 +60,7 @@
 
 
 class Stream:
-    """What an attempt reads: a run, from a position, with lines under way."""
+    """The stream of an attempt: a run read from a position, with lines in flight."""
 
     def __init__(self, run: Run | None, position: int, run_id: str) -> None:
         self.run = run
@@ -68,11 +68,11 @@
         self.position = position
         self.opened = False
         self.closed = False
-        self.under_way: deque[TokensArrived] = deque()
+        self.in_flight: deque[TokensArrived] = deque()
 
 
 class AnswerWorld:
-    """Drives one core, the product's or the naive one, and checks what it lets out."""
+    """Drives one core, the product's or the naive one, and checks its tokens."""
 
     def __init__(self, core_class, length: int, races: bool = True) -> None:
         self.length = length
@@ -86,20 +86,20 @@
             deaths_before_stop=1_000,
         )
         ledger = Ledger("g-1")
-        self.core = core_class("team/r/g-1", SERVES, policy, ledger)
+        self.core = core_class("team/r/g-1", EXPECTED, policy, ledger)
         self.seeking: SeekEndpoint | None = None
         self.streams: dict[int, Stream] = {}
         self.runs: dict[str, Run] = {}
-        self.dead: set[str] = set()
+        self.crashed: set[str] = set()
         self.delivered = 0
         self.completed = False
         self.interrupted = False
-        self.salts = 0
-        self.tell(Started())
+        self.salt_count = 0
+        self.handle(Started())
 
-    # The core's side.
+    # Handling of the core's actions.
 
-    def tell(self, event) -> None:
+    def handle(self, event) -> None:
         for action in self.core.handle(event, self.now_ms):
             self._carry_out(action)
         self.check()
@@ -126,38 +126,42 @@
     def _open(self, action: OpenAttempt) -> None:
         if action.way is Way.OWN_STREAM:
             run = self.runs.get(action.run_id)
-            if run is None or run.endpoint in self.dead:
+            if run is None or run.endpoint in self.crashed:
                 run = None
             stream = Stream(run, action.from_position, action.run_id)
         else:
-            self.salts += 1
+            self.salt_count += 1
             attempt = self.core.attempts.get(action.attempt)
             label = attempt.label if attempt else "naive"
             prefix = self.core.ledger.tokens_from(0, action.from_position)
-            run = Run(action.endpoint_id, prefix, self.salts % SALTS, label)
+            run = Run(action.endpoint_id, prefix, self.salt_count % SALTS, label)
             run_id = f"run-{action.attempt}"
             self.runs[run_id] = run
-            gone = action.endpoint_id in self.dead
-            stream = Stream(None if gone else run, action.from_position, run_id)
+            endpoint_crashed = action.endpoint_id in self.crashed
+            stream = Stream(
+                None if endpoint_crashed else run, action.from_position, run_id
+            )
         self.streams[action.attempt] = stream
 
     def check(self) -> None:
         tokens = self.core.ledger.tokens_from(0)
-        foreign = first_foreign_token(REQUEST, tokens)
-        assert foreign is None, f"token {foreign} is another run's"
+        foreign_position = first_foreign_token(REQUEST, tokens)
+        assert foreign_position is None, (
+            f"token {foreign_position} belongs to another run"
+        )
         if self.completed:
             assert len(tokens) == self.length, f"{len(tokens)} of {self.length} tokens"
 
-    # The world's side: each step is one thing that may happen.
+    # Steps of the schedule.
 
-    def readable(self) -> list[int]:
+    def open_attempts(self) -> list[int]:
         return [n for n, s in self.streams.items() if not s.closed]
 
     def grant(self, endpoint: str) -> None:
         if self.seeking is not None:
             self.seeking = None
-            self.dead.discard(endpoint)
-            self.tell(Granted(endpoint))
+            self.crashed.discard(endpoint)
+            self.handle(Granted(endpoint))
 
     def open_stream(self, attempt: int, wrong: str = "") -> None:
         stream = self.streams[attempt]
@@ -165,18 +169,18 @@
             return
         if stream.run is None:
             stream.closed = True
-            self.tell(AttemptEnded(attempt, Loss.NOT_SENT))
+            self.handle(AttemptEnded(attempt, Loss.NOT_SENT))
             return
         stream.opened = True
-        self.tell(
+        self.handle(
             HeadArrived(
                 attempt,
                 StreamHead(
                     stream.run_id,
                     "other/request/1" if wrong == "label" else stream.run.label,
-                    "another" if wrong == "model" else SERVES.model,
-                    SERVES.adapter,
-                    "2" if wrong == "version" else SERVES.version,
+                    "another" if wrong == "model" else EXPECTED.model,
+                    EXPECTED.adapter,
+                    "2" if wrong == "version" else EXPECTED.version,
                     "i",
                     stream.position + (wrong == "position"),
                 ),
@@ -184,87 +188,87 @@
         )
 
     def generate(self, attempt: int, count: int) -> None:
-        """The engine writes a line; it is under way until `arrive`."""
+        """The engine sends a line, which is in flight until `deliver_line`."""
         stream = self.streams[attempt]
         if not stream.opened or stream.closed or stream.run is None:
             return
-        if stream.run.endpoint in self.dead:
+        if stream.run.endpoint in self.crashed:
             return
         end = min(stream.position + count, self.length)
         tokens = [stream.run.token_at(p) for p in range(stream.position, end)]
         if tokens:
-            texts = [text_of(each) for each in tokens]
+            texts = [text_of(token) for token in tokens]
             line = TokensArrived(attempt, stream.run_id, stream.position, tokens, texts)
-            stream.under_way.append(line)
+            stream.in_flight.append(line)
             stream.position = end
 
-    def arrive(self, attempt: int, how: str = "") -> None:
+    def deliver_line(self, attempt: int, how: str = "") -> None:
         stream = self.streams[attempt]
-        if not stream.under_way:
+        if not stream.in_flight:
             return
         match how:
             case "reordered":
-                line = stream.under_way.pop()
+                line = stream.in_flight.pop()
             case "skipped":
-                stream.under_way.popleft()
+                stream.in_flight.popleft()
                 return
             case "repeated":
-                line = stream.under_way[0]
+                line = stream.in_flight[0]
             case _:
-                line = stream.under_way.popleft()
+                line = stream.in_flight.popleft()
         if not stream.closed:
-            self.tell(line)
+            self.handle(line)
 
-    def crossed(self, attempt: int) -> None:
-        """A line of this answer's own other run comes on this stream."""
-        others = [s for n, s in self.streams.items() if n != attempt and s.under_way]
+    def deliver_line_of_other_run(self, attempt: int) -> None:
+        """Deliver a line of the answer's other run on this stream."""
+        others = [s for n, s in self.streams.items() if n != attempt and s.in_flight]
         if others and not self.streams[attempt].closed:
-            line = others[0].under_way[0]
-            self.tell(evolve(line, attempt=attempt))
+            line = others[0].in_flight[0]
+            self.handle(evolve(line, attempt=attempt))
 
     def finish(self, attempt: int) -> None:
         stream = self.streams[attempt]
-        done = stream.position >= self.length and not stream.under_way
+        done = stream.position >= self.length and not stream.in_flight
         if stream.opened and not stream.closed and done:
             stream.closed = True
-            self.tell(FinishArrived(attempt, stream.run_id, self.length, "length"))
+            self.handle(FinishArrived(attempt, stream.run_id, self.length, "length"))
 
-    def lose(self, attempt: int, loss: Loss) -> None:
+    def lose_attempt(self, attempt: int, loss: Loss) -> None:
         stream = self.streams[attempt]
         if not stream.closed:
             stream.closed = True
-            stream.under_way.clear()
-            self.tell(AttemptEnded(attempt, loss))
+            stream.in_flight.clear()
+            self.handle(AttemptEnded(attempt, loss))
 
-    def kill(self, endpoint: str) -> None:
-        self.dead.add(endpoint)
+    def crash(self, endpoint: str) -> None:
+        self.crashed.add(endpoint)
         for attempt, stream in list(self.streams.items()):
             if stream.run is not None and stream.run.endpoint == endpoint:
-                self.lose(attempt, Loss.CUT)
+                self.lose_attempt(attempt, Loss.CUT)
 
-    def silent(self, endpoint: str) -> None:
-        self.tell(EndpointSilent(endpoint))
+    def stall(self, endpoint: str) -> None:
+        self.handle(EndpointSilent(endpoint))
 
-    def pause_of_ours(self, ms: float) -> None:
+    def pause_process(self, ms: float) -> None:
         self.now_ms += ms
-        self.tell(ReadingResumed())
+        self.handle(ReadingResumed())
 
     def pass_time(self, ms: float) -> None:
         self.now_ms += ms
         if self.now_ms >= self.alarm_ms:
             self.alarm_ms = math.inf
-            self.tell(Tick())
+            self.handle(Tick())
 
-    def settle(self) -> None:
-        """Without further faults every answer comes to its end."""
+    def run_until_ended(self) -> None:
+        """Step without further faults until the answer has ended."""
         for _ in range(400):
             if self.core.ended:
                 return
             self.grant("calm")
-            for attempt in self.readable():
+            for attempt in self.open_attempts():
                 self.open_stream(attempt)
                 self.generate(attempt, 4)
-                self.arrive(attempt)
+                self.deliver_line(attempt)
                 self.finish(attempt)
             self.pass_time(50)
-        raise AssertionError(f"the answer never ended: {self.core.state}")
+        raise AssertionError(f"the answer did not end; it is {self.core.state}")
--- a/tests/common/examples.py
+++ b/tests/common/examples.py
@@ -1,4 +1,4 @@
-"""How many generated schedules a run takes: few in CI, more when asked for."""
+"""Hypothesis settings: the number of generated schedules in CI and in long runs."""
 
 import os
 
@@ -6,13 +6,13 @@
 
 
 def schedules(in_ci: int, steps: int = 40) -> settings:
-    """COURSEKEEL_SCHEDULES=10000 makes the long run that docs/PROMISES.md quotes."""
+    """Run ``in_ci`` schedules, or as many as COURSEKEEL_SCHEDULES says."""
     count = int(os.environ.get("COURSEKEEL_SCHEDULES", in_ci))
     return settings(max_examples=count, stateful_step_count=steps)
 
 
 def until_broken(steps: int = 40) -> settings:
-    """For the naive version: the first schedule that breaks it will do."""
+    """Settings for a naive version: stop at the first failing schedule."""
     return settings(
         max_examples=2_000,
         stateful_step_count=steps,
--- a/tests/common/naive.py
+++ b/tests/common/naive.py
@@ -1,8 +1,8 @@
-"""The naive version: small, honest, and wrong under failure.
+"""Naive versions of the cores, which the property tests must find faults in.
 
-Round robin, one fixed timeout, a lost answer run again from its start with the tokens
-already sent skipped, a closed connection taken for an end, and calls that are sent
-again when no answer came.
+The answer has one fixed timeout, restarts a lost run from its start and skips as many
+tokens as were sent, and takes a closed connection for the end. The call is sent again
+when no reply came.
 """
 
 from coursekeel.answers import (
@@ -26,17 +26,17 @@
 )
 
 TIMEOUT_MS = 1_000.0
-TRIES = 50
+MAX_TRIES = 50
 
 
 class NaiveAnswer:
-    """Speaks the events and actions of `AnswerCore`, so both run the same schedule."""
+    """Has the interface of `AnswerCore`, so that both run the same schedules."""
 
     def __init__(self, label, expected, policy, ledger: Ledger) -> None:
         self.ledger = ledger
         self.number = 0
         self.skip = 0
-        self.heard_ms = 0.0
+        self.last_received_ms = 0.0
         self.state = "waiting"
         self.attempts = {}
 
@@ -53,40 +53,43 @@
             case Granted():
                 self.number += 1
                 self.skip = self.ledger.next_position
-                self.heard_ms = now_ms
+                self.last_received_ms = now_ms
                 self.state = "running"
                 opened = OpenAttempt(self.number, event.endpoint_id, Way.PREFILL, 0)
                 return [opened, SetAlarm(now_ms + TIMEOUT_MS)]
             case TokensArrived() if event.attempt == self.number:
-                return self._tokens(event, now_ms)
+                return self._handle_tokens(event, now_ms)
             case FinishArrived() if event.attempt == self.number:
                 return self._complete(event.reason)
             case AttemptEnded() if event.attempt == self.number:
                 if event.loss is Loss.CLOSED_EARLY:
                     return self._complete("closed")
-                return self._again()
+                return self._retry()
             case Tick():
-                if self.state == "running" and now_ms - self.heard_ms >= TIMEOUT_MS:
-                    return [CancelAttempt(self.number), *self._again()]
+                if (
+                    self.state == "running"
+                    and now_ms - self.last_received_ms >= TIMEOUT_MS
+                ):
+                    return [CancelAttempt(self.number), *self._retry()]
                 return [SetAlarm(now_ms + TIMEOUT_MS)]
         return []
 
-    def _tokens(self, event, now_ms):
-        self.heard_ms = now_ms
-        fresh = event.tokens[self.skip :]
+    def _handle_tokens(self, event, now_ms):
+        self.last_received_ms = now_ms
+        new_tokens = event.tokens[self.skip :]
         texts = event.texts[self.skip :]
         self.skip = max(0, self.skip - len(event.tokens))
-        if not fresh:
+        if not new_tokens:
             return []
-        self.ledger.offer(self.ledger.next_position, fresh, texts)
+        self.ledger.offer(self.ledger.next_position, new_tokens, texts)
         return [Deliver(self.ledger.next_position)]
 
     def _complete(self, reason):
         self.state = "finished"
         return [Complete(reason)]
 
-    def _again(self):
-        if self.number >= TRIES:
+    def _retry(self):
+        if self.number >= MAX_TRIES:
             self.state = "interrupted"
             return [Interrupt("tries", RunState.UNKNOWN, 0, 0)]
         self.state = "recovering"
@@ -94,14 +97,14 @@
 
 
 class NaiveCall:
-    """Sends, and sends again until something answers."""
+    """Sends a call again until a reply arrives or three tries failed."""
 
     def __init__(self) -> None:
         self.tries = 0
         self.reply = None
 
-    def after(self, answered: bool) -> bool:
-        """Take the outcome of a send; says whether to send again."""
+    def record_outcome(self, answered: bool) -> bool:
+        """Record the outcome of a send; returns whether to send again."""
         self.tries += 1
         if answered:
             self.reply = RunState.RAN
--- a/tests/cover/test_answers_under_faults.py
+++ b/tests/cover/test_answers_under_faults.py
@@ -1,4 +1,4 @@
-"""Tokens exactly once, never mixed, whatever engines do."""
+"""Tokens are delivered exactly once and never mixed between runs."""
 
 import pytest
 from hypothesis import strategies as st
@@ -28,76 +28,76 @@
     def begin(self, length, races):
         self.world = AnswerWorld(self.core_class, length, races)
 
-    def attempt(self, data):
-        return data.draw(st.sampled_from(self.world.readable()))
+    def draw_attempt(self, data):
+        return data.draw(st.sampled_from(self.world.open_attempts()))
 
     @rule(endpoint=ENDPOINTS)
     def grant(self, endpoint):
         self.world.grant(endpoint)
 
-    @precondition(lambda self: self.world.readable())
+    @precondition(lambda self: self.world.open_attempts())
     @rule(data=st.data(), count=st.integers(1, 6))
     def stream(self, data, count):
-        attempt = self.attempt(data)
+        attempt = self.draw_attempt(data)
         self.world.open_stream(attempt)
         self.world.generate(attempt, count)
 
-    @precondition(lambda self: self.world.readable())
+    @precondition(lambda self: self.world.open_attempts())
     @rule(data=st.data(), how=st.sampled_from(["", "", "reordered", "repeated"]))
-    def arrive(self, data, how):
-        self.world.arrive(self.attempt(data), how)
+    def deliver_line(self, data, how):
+        self.world.deliver_line(self.draw_attempt(data), how)
 
-    @precondition(lambda self: self.world.readable())
+    @precondition(lambda self: self.world.open_attempts())
     @rule(data=st.data())
-    def line_is_lost(self, data):
-        self.world.arrive(self.attempt(data), "skipped")
+    def lose_line(self, data):
+        self.world.deliver_line(self.draw_attempt(data), "skipped")
 
-    @precondition(lambda self: self.world.readable())
+    @precondition(lambda self: self.world.open_attempts())
     @rule(data=st.data())
-    def line_of_another_run(self, data):
-        self.world.crossed(self.attempt(data))
+    def deliver_line_of_other_run(self, data):
+        self.world.deliver_line_of_other_run(self.draw_attempt(data))
 
-    @precondition(lambda self: self.world.readable())
+    @precondition(lambda self: self.world.open_attempts())
     @rule(data=st.data(), wrong=WRONG_HEADS)
-    def wrong_head(self, data, wrong):
-        self.world.open_stream(self.attempt(data), wrong)
+    def send_wrong_head(self, data, wrong):
+        self.world.open_stream(self.draw_attempt(data), wrong)
 
-    @precondition(lambda self: self.world.readable())
+    @precondition(lambda self: self.world.open_attempts())
     @rule(data=st.data())
     def finish(self, data):
-        self.world.finish(self.attempt(data))
+        self.world.finish(self.draw_attempt(data))
 
-    @precondition(lambda self: self.world.readable())
+    @precondition(lambda self: self.world.open_attempts())
     @rule(data=st.data(), loss=LOSSES)
-    def lose(self, data, loss):
-        self.world.lose(self.attempt(data), loss)
+    def lose_attempt(self, data, loss):
+        self.world.lose_attempt(self.draw_attempt(data), loss)
 
     @rule(endpoint=ENDPOINTS)
-    def kill(self, endpoint):
-        self.world.kill(endpoint)
+    def crash(self, endpoint):
+        self.world.crash(endpoint)
 
     @rule(endpoint=ENDPOINTS)
-    def freeze(self, endpoint):
-        self.world.silent(endpoint)
+    def stall(self, endpoint):
+        self.world.stall(endpoint)
 
     @rule(ms=st.floats(1, 2_000))
     def pass_time(self, ms):
         self.world.pass_time(ms)
 
     @rule(ms=st.floats(1, 10_000))
-    def our_own_pause(self, ms):
-        self.world.pause_of_ours(ms)
+    def pause_process(self, ms):
+        self.world.pause_process(ms)
 
     def teardown(self):
         if hasattr(self, "world"):
-            self.world.settle()
+            self.world.run_until_ended()
 
 
 class NaiveMachine(AnswerMachine):
     core_class = NaiveAnswer
 
 
-def test_tokens_come_exactly_once_and_are_never_mixed():
+def test_tokens_are_delivered_exactly_once_and_never_mixed():
     run_state_machine_as_test(AnswerMachine, settings=schedules(300))
 
 
@@ -106,76 +106,76 @@
         run_state_machine_as_test(NaiveMachine, settings=until_broken())
 
 
-def world_at(tokens: int, races: bool = True) -> AnswerWorld:
+def world_with_tokens(tokens: int, races: bool = True) -> AnswerWorld:
     world = AnswerWorld(AnswerCore, 20, races)
     world.grant("a")
     world.open_stream(1)
     world.generate(1, tokens)
-    world.arrive(1)
+    world.deliver_line(1)
     return world
 
 
-def test_a_cut_stream_is_taken_up_at_the_same_engine():
-    world = world_at(8)
-    world.lose(1, Loss.CUT)
+def test_a_cut_stream_is_resumed_on_the_same_engine():
+    world = world_with_tokens(8)
+    world.lose_attempt(1, Loss.CUT)
     assert world.core.attempts[2].endpoint_id == "a"
-    world.settle()
+    world.run_until_ended()
     assert world.completed
     assert len(world.core.attempts) == 2
 
 
-def test_a_frozen_engine_that_wakes_first_stays():
-    world = world_at(8)
-    world.silent("a")
+def test_a_stalled_engine_that_recovers_first_is_kept():
+    world = world_with_tokens(8)
+    world.stall("a")
     world.generate(1, 2)
-    world.arrive(1)
+    world.deliver_line(1)
     world.grant("b")
     assert len(world.core.attempts) == 1
 
 
-def test_a_late_token_of_the_loser_is_refused():
-    world = world_at(8)
+def test_a_stalled_run_is_closed_once_its_successor_progresses():
+    world = world_with_tokens(8)
     world.generate(1, 2)
-    world.silent("a")
+    world.stall("a")
     world.grant("b")
     world.open_stream(2)
     world.generate(2, 4)
-    world.arrive(2)
+    world.deliver_line(2)
     assert world.streams[1].closed
     assert world.core.ledger.next_position == 12
 
 
-def test_a_line_of_another_run_is_refused_though_its_position_fits():
-    """Found by a run of 10,000 schedules: a crossed line mixed two runs."""
+def test_a_line_of_another_run_is_rejected_at_a_fitting_position():
+    """A line that arrives on the stream of another run must not mix the two runs."""
     world = AnswerWorld(AnswerCore, 4)
     world.grant("a")
     world.open_stream(1)
     world.generate(1, 1)
-    world.arrive(1, "skipped")
-    world.silent("a")
+    world.deliver_line(1, "skipped")
+    world.stall("a")
     world.grant("a")
     world.open_stream(2)
     world.generate(2, 1)
-    world.crossed(1)
+    world.deliver_line_of_other_run(1)
     world.generate(1, 1)
-    world.arrive(1)
-    world.settle()
+    world.deliver_line(1)
+    world.run_until_ended()
     assert world.completed
 
 
-def test_without_racing_the_silent_stream_is_cancelled_first():
-    world = world_at(8, races=False)
-    world.silent("a")
+def test_without_racing_a_stalled_stream_is_cancelled():
+    world = world_with_tokens(8, races=False)
+    world.stall("a")
     assert world.streams[1].closed
 
 
-def test_our_own_pause_is_no_silence_of_others():
-    world = world_at(8)
-    world.pause_of_ours(10_000)
+def test_a_pause_of_this_process_suspects_no_stream():
+    world = world_with_tokens(8)
+    world.pause_process(10_000)
     assert not world.core.attempts[1].suspected
 
 
-def test_a_request_that_kills_engines_is_stopped():
+def test_a_request_that_crashes_engines_is_interrupted():
     world = AnswerWorld(AnswerCore, 20)
     recovery = world.core.recovery
     recovery.policy = type(recovery.policy)(deaths_before_stop=3)
@@ -183,8 +183,8 @@
         world.grant(endpoint)
         attempt = max(world.streams)
         world.open_stream(attempt)
-        world.kill(endpoint)
-        for each in world.readable():
-            world.open_stream(each)
+        world.crash(endpoint)
+        for number in world.open_attempts():
+            world.open_stream(number)
     assert world.interrupted
     assert world.core.state == "interrupted"
--- a/tests/cover/test_calls_under_faults.py
+++ b/tests/cover/test_calls_under_faults.py
@@ -1,4 +1,4 @@
-"""A call that may not be repeated runs at most once, and refusals are true."""
+"""A call that isn't repeatable runs at most once; a refused call has not run."""
 
 import pytest
 from hypothesis import strategies as st
@@ -37,7 +37,7 @@
 
 
 class CallMachine(RuleBasedStateMachine):
-    """Entries that get the same keyed call, a table, and a service that counts."""
+    """Entries that receive the same keyed call, a table, and a service."""
 
     def __init__(self):
         super().__init__()
@@ -47,7 +47,7 @@
         self.replies = []
         self.calls = 0
 
-    # One entry's part.
+    # Handling of the cores' actions.
 
     @precondition(lambda self: self.calls < 5)
     @rule()
@@ -65,36 +65,38 @@
         match action:
             case WriteClaim():
                 write = Transaction({KEY: 0}, {KEY: action.row.to_row()})
-                self.ask("transact", write, core, ClaimAnswered)
+                self.request("transact", write, core, ClaimAnswered)
             case ReadBack():
-                self.ask("read", [action.key], core, ReadBackAnswered)
+                self.request("read", [action.key], core, ReadBackAnswered)
             case Record():
                 row = {KEY: action.row.to_row()}
                 write = Transaction({KEY: action.version}, row)
-                self.ask("transact", write, core, Recorded)
+                self.request("transact", write, core, Recorded)
             case Send():
                 self.sending.append(core)
             case Reply():
                 self.replies.append(action.reply)
 
-    def ask(self, kind, argument, core, event):
-        answer = self.platform._ask(kind, argument)
-        answer.addCallback(lambda o: self.carry_out(core, core.handle(event(o))))
+    def request(self, kind, argument, core, event):
+        reply = self.platform._ask(kind, argument)
+        reply.addCallback(
+            lambda outcome: self.carry_out(core, core.handle(event(outcome)))
+        )
 
-    # The world's part.
+    # Steps of the schedule.
 
     @precondition(lambda self: self.platform.waiting)
     @rule(index=st.integers(0, 9), how=st.sampled_from(WAYS))
-    def store_answers(self, index, how):
+    def store_responds(self, index, how):
         self.platform.step(index, how)
 
     @rule()
-    def late_effect(self):
+    def apply_late_write(self):
         self.platform.late_effect()
 
     @precondition(lambda self: self.sending)
     @rule(index=st.integers(0, 9), how=SENDS)
-    def service(self, index, how):
+    def end_send(self, index, how):
         core = self.sending.pop(index % len(self.sending))
         outcome = self.send(how)
         self.carry_out(core, core.handle(SendEnded(outcome)))
@@ -108,8 +110,8 @@
 
     @precondition(lambda self: self.platform.waiting)
     @rule(index=st.integers(0, 9))
-    def entry_dies(self, index):
-        """The operation may still happen; nobody hears of it."""
+    def entry_crashes(self, index):
+        """Drop an operation's reply; its effect may still happen."""
         waiting = self.platform.waiting
         operation = waiting.pop(index % len(waiting))
         if operation.kind == "transact":
@@ -122,17 +124,17 @@
         assert self.ran <= 1, f"ran {self.ran} times"
         for reply in self.replies:
             if reply.run is RunState.NOT_RUN:
-                assert self.ran == 0, "a refusal was false"
+                assert self.ran == 0, "a call that ran was reported as not run"
             if reply.run is RunState.RAN:
-                assert self.ran == 1, "a result was made up"
+                assert self.ran == 1, "a call that did not run was reported as run"
 
-    def settle(self):
+    def run_until_settled(self):
         while self.platform.late:
             self.platform.late_effect()
         for _ in range(50):
             self.platform.drain()
             while self.sending:
-                self.service(0, "answered")
+                self.end_send(0, "answered")
 
 
 class NaiveCallMachine(CallMachine):
@@ -146,10 +148,10 @@
 
     @precondition(lambda self: self.sending)
     @rule(index=st.integers(0, 9), how=SENDS)
-    def service(self, index, how):
+    def end_send(self, index, how):
         call = self.sending[index % len(self.sending)]
         outcome = self.send(how)
-        if not call.after(isinstance(outcome, ServiceReply)):
+        if not call.record_outcome(isinstance(outcome, ServiceReply)):
             self.sending.remove(call)
             self.replies.append(_NaiveReply(call.reply))
 
@@ -161,11 +163,11 @@
 
 class SettlingCallMachine(CallMachine):
     def teardown(self):
-        self.settle()
+        self.run_until_settled()
         self.check()
 
 
-def test_a_keyed_call_runs_at_most_once_and_refusals_are_true():
+def test_a_keyed_call_runs_at_most_once_and_reports_are_true():
     run_state_machine_as_test(SettlingCallMachine, settings=schedules(400))
 
 
@@ -174,30 +176,30 @@
         run_state_machine_as_test(NaiveCallMachine, settings=until_broken())
 
 
-def begun(keyed=True, repeatable=False, claimed=True):
+def start_call(keyed=True, repeatable=False, claimed=True):
     claim = ClaimRow(KEY, "attempt-1", "entry-1", "f") if claimed else None
     core = CallCore(CallPolicy(repeatable), claim, keyed)
     return core, core.handle(Begin())
 
 
 def test_a_call_without_a_key_is_sent_at_once():
-    _, actions = begun(claimed=False, keyed=False)
+    _, actions = start_call(claimed=False, keyed=False)
     assert actions == [Send()]
 
 
-def test_an_unkeyed_call_that_was_not_sent_is_surely_not_run():
-    core, _ = begun(claimed=False, keyed=False)
+def test_an_unkeyed_call_that_was_not_sent_is_reported_as_not_run():
+    core, _ = start_call(claimed=False, keyed=False)
     for _ in range(3):
         actions = core.handle(SendEnded(SendOutcome.NOT_SENT))
     assert actions[0].reply.run is RunState.NOT_RUN
 
 
-def test_a_call_that_may_not_be_repeated_is_never_sent_after_a_lost_answer():
-    core, _ = begun(claimed=False, keyed=False)
+def test_a_call_that_is_not_repeatable_is_not_sent_after_a_lost_reply():
+    core, _ = start_call(claimed=False, keyed=False)
     (action,) = core.handle(SendEnded(SendOutcome.MAYBE_SENT))
     assert action.reply.run is RunState.UNKNOWN
 
 
-def test_a_repeatable_call_is_sent_again():
-    core, _ = begun(claimed=False, keyed=False, repeatable=True)
+def test_a_repeatable_call_is_sent_again_after_a_lost_reply():
+    core, _ = start_call(claimed=False, keyed=False, repeatable=True)
     assert core.handle(SendEnded(SendOutcome.MAYBE_SENT)) == [Send()]
--- a/tests/cover/test_configuration_under_faults.py
+++ b/tests/cover/test_configuration_under_faults.py
@@ -1,4 +1,4 @@
-"""One configuration in force: it never reverts, and a confirm has one answer."""
+"""An applied configuration never reverts, and a plan has one outcome."""
 
 import pytest
 from hypothesis import strategies as st
@@ -31,7 +31,7 @@
 
 
 class EntryView:
-    """What one entry applies: only higher revisions, as `ConfigurationTask` does."""
+    """The revision of one entry, which like `ConfigurationTask` only grows."""
 
     never_reverts = True
 
@@ -39,14 +39,14 @@
         self.revision = 0
         self.history = [0]
 
-    def offered(self, revision):
+    def offer_revision(self, revision):
         if revision > self.revision or not self.never_reverts:
             self.revision = revision
             self.history.append(revision)
 
 
 class NaiveView(EntryView):
-    """Applies whatever it was told last."""
+    """Applies the revision that it received last."""
 
     never_reverts = False
 
@@ -59,15 +59,15 @@
         self.platform = FakePlatform()
         self.store = ConfigurationStore(self.platform)
         self.plans = []
-        self.answers = {}
+        self.outcomes = {}
         self.views = {name: self.view_class() for name in ENTRIES}
-        self.hints = []
+        self.delayed_reads = []
         self.accepted = 0
 
     @precondition(lambda self: len(self.plans) < 6)
     @rule()
-    def plan(self):
-        """An operator plans on what the table holds now."""
+    def make_plan(self):
+        """An operator makes a plan on the stored revision."""
         row = self.platform.rows.get(CONFIGURATION_KEY)
         on_revision = row.value["revision"] if row else 0
         plan_id = f"plan-{len(self.plans)}"
@@ -79,45 +79,45 @@
 
     @precondition(lambda self: self.plans)
     @rule(index=st.integers(0, 9))
-    def confirm(self, index):
+    def confirm_plan(self, index):
         plan_id = self.plans[index % len(self.plans)]
         ensureDeferred(self._confirm(plan_id))
 
     async def _confirm(self, plan_id):
         outcome = await self.store.confirm(plan_id)
         if isinstance(outcome, Confirmed | Stale):
-            known = self.answers.setdefault(plan_id, outcome)
-            if isinstance(known, Confirmed) or isinstance(outcome, Confirmed):
-                assert known == outcome, f"{plan_id}: {known}, then {outcome}"
+            first = self.outcomes.setdefault(plan_id, outcome)
+            if isinstance(first, Confirmed) or isinstance(outcome, Confirmed):
+                assert first == outcome, f"{plan_id}: {first}, then {outcome}"
 
     @precondition(lambda self: self.platform.waiting)
     @rule(index=st.integers(0, 9), how=st.sampled_from(WAYS))
-    def store_answers(self, index, how):
+    def store_responds(self, index, how):
         self.platform.step(index, how)
 
     @rule()
-    def late_effect(self):
+    def apply_late_write(self):
         self.platform.late_effect()
 
     @rule(name=st.sampled_from(ENTRIES))
-    def poll(self, name):
-        """The read is answered now; what it says may arrive late, as a hint."""
+    def read_row(self, name):
+        """An entry reads the row; the result may be applied later, in any order."""
         row = self.platform.rows.get(CONFIGURATION_KEY)
         revision = row.value["revision"] if row else 0
-        self.hints.append((name, revision))
+        self.delayed_reads.append((name, revision))
 
-    @precondition(lambda self: self.hints)
+    @precondition(lambda self: self.delayed_reads)
     @rule(index=st.integers(0, 9))
-    def hint_arrives(self, index):
-        name, revision = self.hints.pop(index % len(self.hints))
-        self.views[name].offered(revision)
+    def apply_delayed_read(self, index):
+        name, revision = self.delayed_reads.pop(index % len(self.delayed_reads))
+        self.views[name].offer_revision(revision)
 
-    @rule(giver=st.sampled_from(ENTRIES), taker=st.sampled_from(ENTRIES))
-    def peer_gives(self, giver, taker):
-        self.views[taker].offered(self.views[giver].revision)
+    @rule(sender=st.sampled_from(ENTRIES), receiver=st.sampled_from(ENTRIES))
+    def send_to_peer(self, sender, receiver):
+        self.views[receiver].offer_revision(self.views[sender].revision)
 
     @rule()
-    def look_whether_accepted(self):
+    def check_acceptance(self):
         row = self.platform.rows.get(CONFIGURATION_KEY)
         if row is None:
             return
@@ -130,24 +130,26 @@
 
     def teardown(self):
         for name, view in self.views.items():
-            assert view.history == sorted(view.history), f"{name} went back"
-            assert view.revision >= self.accepted, f"{name} lacks what was accepted"
+            assert view.history == sorted(view.history), (
+                f"{name} reverted to an older revision"
+            )
+            assert view.revision >= self.accepted, f"{name} lacks the accepted revision"
 
 
 class NaiveConfigurationMachine(ConfigurationMachine):
     view_class = NaiveView
 
 
-def test_an_accepted_configuration_is_everywhere_and_never_reverts():
+def test_an_accepted_configuration_is_applied_everywhere_and_never_reverts():
     run_state_machine_as_test(ConfigurationMachine, settings=schedules(300))
 
 
-def test_the_naive_version_goes_back():
+def test_the_naive_version_reverts():
     with pytest.raises(AssertionError):
         run_state_machine_as_test(NaiveConfigurationMachine, settings=until_broken())
 
 
-def test_the_loser_of_a_race_is_told_what_changed():
+def test_a_stale_plan_gets_the_revision_in_force():
     platform = FakePlatform()
     store = ConfigurationStore(platform)
     outcomes = []
@@ -162,7 +164,7 @@
     assert outcomes[1].in_force == 1
 
 
-def test_confirming_again_after_a_lost_answer_says_confirmed():
+def test_confirming_again_after_a_lost_reply_returns_confirmed():
     platform = FakePlatform()
     store = ConfigurationStore(platform)
     plan = Plan("p", 0, Intent(), (), 0, 0)
@@ -178,7 +180,7 @@
 
 
 @pytest.mark.parametrize(
-    ("evidence", "waited_for"),
+    ("evidence", "expected_ids"),
     [
         (PeerEvidence("a", 4), []),
         (PeerEvidence("a", 3), ["a"]),
@@ -186,13 +188,15 @@
         (None, ["a"]),
     ],
 )
-def test_waits_for_whoever_may_still_serve_the_old_one(evidence, waited_for):
-    known = {"a": evidence} if evidence else {}
-    assert waits_for(4, ["a"], known) == waited_for
-    assert waits_for(4, ["a"], known, frozenset(["a"])) == []
+def test_waits_for_instances_that_may_still_serve_an_older_revision(
+    evidence, expected_ids
+):
+    evidence_by_id = {"a": evidence} if evidence else {}
+    assert waits_for(4, ["a"], evidence_by_id) == expected_ids
+    assert waits_for(4, ["a"], evidence_by_id, frozenset(["a"])) == []
 
 
-def test_a_rollout_is_accepted_once_nobody_is_waited_for():
+def test_a_rollout_is_accepted_once_no_instance_is_waited_for():
     rollout = Rollout(2, "p")
     rollout.committed()
     assert rollout.review(["a"], {}) == ["a"]
@@ -201,6 +205,6 @@
     assert rollout.state == "accepted"
 
 
-def test_configurations_can_be_read_back():
+def test_configurations_round_trip():
     configuration = Configuration(3, Intent(loads_per_minute=2), "p")
     assert Configuration.from_json(configuration.to_json()) == configuration
--- a/tests/cover/test_ledger.py
+++ b/tests/cover/test_ledger.py
@@ -6,20 +6,20 @@
 TOKENS = st.lists(st.integers(0, 2**32 - 1), max_size=30)
 
 
-def filled(tokens: list[int]) -> Ledger:
+def ledger_with(tokens: list[int]) -> Ledger:
     ledger = Ledger("g-1")
-    ledger.offer(0, tokens, [f"<{each}>" for each in tokens])
+    ledger.offer(0, tokens, [f"<{token}>" for token in tokens])
     return ledger
 
 
 @given(TOKENS, st.data())
-def test_takes_each_token_once_however_the_stream_is_cut(tokens, data):
+def test_each_token_is_added_once_for_any_overlap_of_offers(tokens, data):
     ledger = Ledger("g-1")
     position = 0
     while position < len(tokens):
         start = data.draw(st.integers(0, position))
         end = data.draw(st.integers(position, len(tokens)))
-        texts = [f"<{each}>" for each in tokens[start:end]]
+        texts = [f"<{token}>" for token in tokens[start:end]]
         offer = ledger.offer(start, tokens[start:end], texts)
         assert offer.kind in (OfferKind.EXTENDED, OfferKind.REPEATED)
         position = ledger.next_position
@@ -29,25 +29,27 @@
 
 
 @given(TOKENS)
-def test_never_skips_a_gap(tokens):
-    ledger = filled(tokens)
+def test_an_offer_after_a_gap_adds_nothing(tokens):
+    ledger = ledger_with(tokens)
     offer = ledger.offer(len(tokens) + 1, [1], ["x"])
     assert offer.kind is OfferKind.GAP
     assert ledger.tokens_from(0) == tokens
 
 
 @given(TOKENS.filter(bool), st.data())
-def test_takes_nothing_from_an_attempt_that_diverged(tokens, data):
-    ledger = filled(tokens)
-    at = data.draw(st.integers(0, len(tokens) - 1))
-    other = [tokens[at] ^ 1, 5, 6]
-    assert ledger.offer(at, other, ["", "", ""]).kind is OfferKind.DIVERGED
+def test_a_diverging_offer_adds_nothing(tokens, data):
+    ledger = ledger_with(tokens)
+    diverging_position = data.draw(st.integers(0, len(tokens) - 1))
+    other = [tokens[diverging_position] ^ 1, 5, 6]
+    assert (
+        ledger.offer(diverging_position, other, ["", "", ""]).kind is OfferKind.DIVERGED
+    )
     assert ledger.tokens_from(0) == tokens
 
 
 @given(TOKENS, st.data())
-def test_agrees_only_with_an_equal_prefix(tokens, data):
-    ledger = filled(tokens)
+def test_only_an_equal_prefix_matches(tokens, data):
+    ledger = ledger_with(tokens)
     position = data.draw(st.integers(0, len(tokens)))
     assert ledger.agrees_with(position, digest_of(tokens[:position]))
     assert not ledger.agrees_with(position, digest_of([*tokens[:position], 1]))
@@ -56,7 +58,7 @@
 
 @given(TOKENS, TOKENS)
 def test_a_continued_generation_shares_only_the_prefix(tokens, more):
-    former = filled(tokens)
+    former = ledger_with(tokens)
     latter = former.continued_as("g-2")
     latter.offer(len(tokens), more, [""] * len(more))
     assert former.tokens_from(0) == tokens
@@ -65,12 +67,12 @@
 
 
 @given(st.text("abc~-.1", min_size=1), st.integers(0, 2**40), st.integers(0, 2**64 - 1))
-def test_event_ids_can_be_read_back(generation, position, digest):
+def test_event_ids_round_trip(generation, position, digest):
     event_id = EventId(generation, position, digest)
     assert EventId.parse(str(event_id)) == event_id
 
 
 @given(st.text(max_size=30))
-def test_foreign_event_ids_are_no_error(text):
+def test_parsing_any_text_as_an_event_id_does_not_raise(text):
     parsed = EventId.parse(text)
     assert parsed is None or parsed.position >= 0
