--- a/src/coursekeel/answers/_answer.py
+++ b/src/coursekeel/answers/_answer.py
@@ -199,6 +199,7 @@
                 return self.recovery.drop_attempt(attempt, now_ms)
 
     def _handle_extension(self, winner: Attempt, now_ms: float) -> list[Action]:
+        """Deliver new pieces, and cancel all attempts but the one that sent them."""
         actions: list[Action] = [Deliver(self.ledger.next_position)]
         if winner.first_piece_ms is None:
             winner.first_piece_ms = now_ms
--- a/src/coursekeel/answers/_journal.py
+++ b/src/coursekeel/answers/_journal.py
@@ -176,6 +176,7 @@
 
 
 def _make_entry(key: str, tracked: _TrackedAnswer) -> JournalEntry:
+    """The entry with an answer's tokens that aren't stored yet."""
     start = tracked.durable_tokens
     return JournalEntry(
         key,
--- a/src/coursekeel/answers/_recovery.py
+++ b/src/coursekeel/answers/_recovery.py
@@ -201,12 +201,14 @@
         return self.open_attempt(copy)
 
     def _seek_if_none_healthy(self, now_ms: float) -> list[Action]:
+        """Request an endpoint, unless a healthy attempt is open."""
         if self.attempts.has_healthy:
             return []
         self._mark_recovering(now_ms)
         return [*self.request_endpoint(), self.next_alarm()]
 
     def _mark_recovering(self, now_ms: float) -> None:
+        """Start the patience timeout; leave ``running`` if no attempt is open."""
         if self.waiting_since_ms is None:
             self.waiting_since_ms = now_ms
         if self.machine.state == "running" and not self.attempts.live:
@@ -259,6 +261,7 @@
         return SetAlarm(min(times_ms, default=math.inf))
 
     def _suspect_at_ms(self, attempt: Attempt) -> float:
+        """The time at which an attempt becomes suspect unless data arrives before."""
         if attempt.has_progressed:
             return attempt.last_received_ms + self.policy.silence_ms
         if attempt.way is Way.COPY:
@@ -268,6 +271,7 @@
     # Interrupting the answer.
 
     def _give_up(self, code: str, chart_input: str) -> list[Action]:
+        """Cancel all attempts and interrupt the answer with the error ``code``."""
         stopped = self.attempts.cancel_all()
         if self.machine.state == "running":
             # The last attempt may be suspected and still open when patience ends.
--- a/src/coursekeel/calls/_call.py
+++ b/src/coursekeel/calls/_call.py
@@ -165,6 +165,7 @@
                 )
 
     def _may_try_again(self, outcome: ServiceReply | SendOutcome) -> bool:
+        """Whether another send is allowed; also updates `may_have_run`."""
         if outcome is SendOutcome.MAYBE_SENT:
             self.may_have_run = True
         if self._tries >= self.policy.tries:
--- a/src/coursekeel/intents/_codec.py
+++ b/src/coursekeel/intents/_codec.py
@@ -49,6 +49,7 @@
 
 
 def _expand_profile(value: Any) -> Any:
+    """Add the values of a class's profile that the class doesn't set itself."""
     if not isinstance(value, dict) or "profile" not in value:
         return value
     own_values = {key: item for key, item in value.items() if key != "profile"}
--- a/src/coursekeel/intents/_plan.py
+++ b/src/coursekeel/intents/_plan.py
@@ -106,6 +106,7 @@
 
 
 def _duplicate_faults(intent: Intent) -> list[str]:
+    """Names that are used twice in one list."""
     names_by_path = {
         "models": [model.name for model in intent.models],
         "endpoints": [endpoint.endpoint_id for endpoint in intent.endpoints],
@@ -224,6 +225,7 @@
 def _endpoint_changes(
     intent: Intent, before: Intent, running: dict[str, int]
 ) -> list[Change]:
+    """Changes of all endpoints; ``before`` is the intent in force."""
     changes: list[Change] = []
     for new in intent.endpoints:
         old = before.endpoint(new.endpoint_id)
@@ -243,6 +245,7 @@
     before: Intent,
     running: dict[str, int],
 ) -> list[Change]:
+    """Changes of one endpoint; ``old`` is None if it is added."""
     new_models = {
         str(model.serves) for model in intent.models if model.name in new.models
     }
@@ -271,6 +274,7 @@
 def _named_changes(
     subject: str, before: tuple[Any, ...], after: tuple[Any, ...]
 ) -> list[Change]:
+    """Items that were added, removed or changed between two lists, by name."""
     old = {item.name: item for item in before}
     new = {item.name: item for item in after}
     added = [Change("add", f"{subject} {name}") for name in new if name not in old]
@@ -284,6 +288,7 @@
 
 
 def _differences(old: Any, new: Any) -> str:
+    """The changed fields of an item; key hashes aren't shown."""
     before, after = cattrs.unstructure(old), cattrs.unstructure(new)
     return ", ".join(
         f"{key}: {before[key]!r} to {after[key]!r}"
--- a/src/coursekeel/intents/_rollout.py
+++ b/src/coursekeel/intents/_rollout.py
@@ -46,6 +46,7 @@
 
 
 def _cannot_serve_older(revision: int, evidence: PeerEvidence | None) -> bool:
+    """Whether an instance surely serves no revision below ``revision``."""
     if evidence is None:
         return False
     return evidence.applied_revision >= revision or evidence.refused_connection
--- a/src/coursekeel/intents/_store.py
+++ b/src/coursekeel/intents/_store.py
@@ -83,7 +83,7 @@
         outcome = await self.platform.transact(write)
         if isinstance(outcome, Committed):
             return outcome
-        return StoreSilent(False, "the plan could not be kept; plan again")
+        return StoreSilent(False, "the plan could not be stored; plan again")
 
     async def confirm(
         self, plan_id: str
@@ -146,6 +146,7 @@
 def _outcome_from_rows(
     rows: Rows, plan_id: str, reason: str
 ) -> Confirmed | Stale | StoreSilent | UnknownPlan:
+    """The outcome of a write that the rows read back show."""
     plan_row = rows.rows.get(plan_key(plan_id))
     if plan_row is None:
         return UnknownPlan()
