--- a/src/coursekeel/intents/_codec.py
+++ b/src/coursekeel/intents/_codec.py
@@ -1,4 +1,4 @@
-"""Read intents from JSON, with every fault found at once and named by its path."""
+"""Convert intents from and to JSON; errors list every fault with its path."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 __all__ = ["intent_from_json", "intent_to_json"]
 
-_INNER = (
+_INTENT_CLASSES = (
     ModelName,
     ModelIntent,
     EndpointIntent,
@@ -28,37 +28,42 @@
     TeamIntent,
     Intent,
 )
-_CONVERTER = strict_converter(*_INNER)
+_CONVERTER = strict_converter(*_INTENT_CLASSES)
 
 
 def intent_from_json(value: Any) -> Intent:
-    """Read an intent; raises `RequestInvalid` that names every fault.
+    """Parse an intent; raises `RequestInvalid` with every fault.
 
-    A class may name a ``profile``, whose values stand where it gives none.
+    A class may name a ``profile``, whose values are the defaults of its other fields.
     """
     if not isinstance(value, dict):
         raise RequestInvalid("", f"an intent is a JSON object, got {value!r:.40}")
-    filled = {**value, "classes": [_filled(each) for each in value.get("classes", [])]}
+    expanded = {
+        **value,
+        "classes": [_expand_profile(raw) for raw in value.get("classes", [])],
+    }
     try:
-        return _CONVERTER.structure(filled, Intent)
+        return _CONVERTER.structure(expanded, Intent)
     except Exception as failure:
         raise RequestInvalid("", "; ".join(faults_of(failure))) from failure
 
 
-def _filled(value: Any) -> Any:
+def _expand_profile(value: Any) -> Any:
+    """Add the values of a class's profile that the class doesn't set itself."""
     if not isinstance(value, dict) or "profile" not in value:
         return value
-    rest = {key: each for key, each in value.items() if key != "profile"}
+    own_values = {key: item for key, item in value.items() if key != "profile"}
     profile = CLASS_PROFILES.get(value["profile"])
     if profile is None:
-        known = ", ".join(CLASS_PROFILES)
+        profile_names = ", ".join(CLASS_PROFILES)
         raise RequestInvalid(
-            "classes", f"unknown profile {value['profile']!r}; expected one of: {known}"
+            "classes",
+            f"unknown profile {value['profile']!r}; expected one of: {profile_names}",
         )
-    return {**_CONVERTER.unstructure(profile), **rest}
+    return {**_CONVERTER.unstructure(profile), **own_values}
 
 
 def intent_to_json(intent: Intent) -> dict[str, Any]:
-    """The JSON form of an intent, which `intent_from_json` reads back."""
+    """The JSON form of an intent, which `intent_from_json` parses."""
     raw: dict[str, Any] = _CONVERTER.unstructure(intent)
-    return {key: each for key, each in raw.items() if not key.startswith("_")}
+    return {key: item for key, item in raw.items() if not key.startswith("_")}
--- a/src/coursekeel/intents/_plan.py
+++ b/src/coursekeel/intents/_plan.py
@@ -1,7 +1,7 @@
-"""A plan: what a new intent would change, and what it would cost.
+"""Plans: the changes that a new intent makes, and the time that its loads take.
 
-Planning is pure: it looks at the configuration in force and at what is known of the
-endpoints, and refuses an intent that can't work before anything has changed.
+Planning has no side effects. It compares the intent with the configuration in force
+and the listed endpoints, and rejects an intent that can't work.
 """
 
 import math
@@ -20,14 +20,14 @@
 
 @frozen
 class Configuration:
-    """The intent in force, with the revision that grows by one at each change."""
+    """The intent in force; ``revision`` grows by one with each change."""
 
     revision: int = 0
     intent: Intent = field(factory=Intent)
     plan_id: str = ""
 
     def to_json(self) -> dict[str, Any]:
-        """The form in which a configuration is kept in the table."""
+        """The configuration as the table stores it."""
         return {
             "revision": self.revision,
             "plan_id": self.plan_id,
@@ -36,7 +36,7 @@
 
     @classmethod
     def from_json(cls, value: dict[str, Any]) -> "Configuration":
-        """Read a configuration back."""
+        """Decode a stored configuration."""
         intent = intent_from_json(value["intent"])
         return cls(value["revision"], intent, value["plan_id"])
 
@@ -52,7 +52,10 @@
 
 @frozen
 class Plan:
-    """What confirming would do, on the revision that the plan was made on."""
+    """The changes that confirming makes to revision ``on_revision``.
+
+    ``loads`` counts the models to load, which together take about ``load_time_s``.
+    """
 
     plan_id: str
     on_revision: int
@@ -62,11 +65,11 @@
     load_time_s: int
 
     def to_json(self) -> dict[str, Any]:
-        """The plan as the operator and the table see it."""
+        """The plan as operators receive it and the table stores it."""
         return {
             "plan_id": self.plan_id,
             "on_revision": self.on_revision,
-            "changes": [cattrs.unstructure(each) for each in self.changes],
+            "changes": [cattrs.unstructure(change) for change in self.changes],
             "loads": self.loads,
             "load_time_s": self.load_time_s,
             "intent": intent_to_json(self.intent),
@@ -74,58 +77,62 @@
 
     @classmethod
     def from_json(cls, value: dict[str, Any]) -> "Plan":
-        """Read a plan back from the table."""
+        """Decode a stored plan."""
         return cls(
             value["plan_id"],
             value["on_revision"],
             intent_from_json(value["intent"]),
-            tuple(cattrs.structure(each, Change) for each in value["changes"]),
+            tuple(cattrs.structure(change, Change) for change in value["changes"]),
             value["loads"],
             value["load_time_s"],
         )
 
 
 def check_intent(
-    intent: Intent, known_endpoints: frozenset[str], now: Configuration
+    intent: Intent, known_endpoints: frozenset[str], in_force: Configuration
 ) -> list[str]:
-    """Every reason why the intent can't work, each with the path to its field."""
+    """All reasons why the intent can't work, each with the path of its field.
+
+    ``known_endpoints`` are the ids of the listed endpoints.
+    """
     return [
-        *_doubled(intent),
+        *_duplicate_faults(intent),
         *_endpoint_faults(intent, known_endpoints),
         *_service_faults(intent),
         *_team_faults(intent),
         *_class_faults(intent),
-        *_orphaned_models(intent, now.intent),
+        *_orphaned_model_faults(intent, in_force.intent),
     ]
 
 
-def _doubled(intent: Intent) -> list[str]:
-    named = {
-        "models": [each.name for each in intent.models],
-        "endpoints": [each.endpoint_id for each in intent.endpoints],
-        "services": [each.name for each in intent.services],
-        "classes": [each.name for each in intent.classes],
-        "teams": [each.name for each in intent.teams],
+def _duplicate_faults(intent: Intent) -> list[str]:
+    """Names that are used twice in one list."""
+    names_by_path = {
+        "models": [model.name for model in intent.models],
+        "endpoints": [endpoint.endpoint_id for endpoint in intent.endpoints],
+        "services": [service.name for service in intent.services],
+        "classes": [policy.name for policy in intent.classes],
+        "teams": [team.name for team in intent.teams],
     }
     return [
         f"{path}[{index}]: {name!r} is named twice"
-        for path, names in named.items()
+        for path, names in names_by_path.items()
         for index, name in enumerate(names)
         if name in names[:index]
     ]
 
 
-def _endpoint_faults(intent: Intent, known: frozenset[str]) -> list[str]:
+def _endpoint_faults(intent: Intent, listed: frozenset[str]) -> list[str]:
     faults = []
-    for index, each in enumerate(intent.endpoints):
+    for index, endpoint in enumerate(intent.endpoints):
         path = f"endpoints[{index}]"
-        if each.endpoint_id not in known:
-            faults.append(f"{path}.endpoint_id: {each.endpoint_id!r} is not listed")
-        if each.kind is EndpointKind.ENGINE and not each.models:
+        if endpoint.endpoint_id not in listed:
+            faults.append(f"{path}.endpoint_id: {endpoint.endpoint_id!r} is not listed")
+        if endpoint.kind is EndpointKind.ENGINE and not endpoint.models:
             faults.append(f"{path}.models: an engine needs at least one model")
         faults += [
             f"{path}.models: unknown model {name!r}"
-            for name in each.models
+            for name in endpoint.models
             if intent.model(name) is None
         ]
     return faults
@@ -167,17 +174,17 @@
 
 
 def _class_faults(intent: Intent) -> list[str]:
-    numbers = ("patience_ms", "first_token_ms", "silence_ms", "queue_limit")
+    positive_fields = ("patience_ms", "first_token_ms", "silence_ms", "queue_limit")
     return [
-        f"classes[{index}].{name}: must be above 0, got {getattr(each, name)}"
-        for index, each in enumerate(intent.classes)
-        for name in (*numbers, "deaths_before_stop", "body_limit_bytes")
-        if getattr(each, name) <= 0
+        f"classes[{index}].{name}: must be above 0, got {getattr(policy, name)}"
+        for index, policy in enumerate(intent.classes)
+        for name in (*positive_fields, "deaths_before_stop", "body_limit_bytes")
+        if getattr(policy, name) <= 0
     ]
 
 
-def _orphaned_models(intent: Intent, before: Intent) -> list[str]:
-    """The last endpoint of a model that a team still uses can't be removed."""
+def _orphaned_model_faults(intent: Intent, before: Intent) -> list[str]:
+    """Models that a team still uses but whose last engine would be removed."""
     used = {name for team in intent.teams for name in team.models}
     return [
         f"endpoints: {name!r} is in use and would lose its last endpoint"
@@ -189,38 +196,40 @@
 def make_plan(
     plan_id: str,
     intent: Intent,
-    now: Configuration,
+    in_force: Configuration,
     known_endpoints: frozenset[str],
     running: dict[str, int],
 ) -> Plan:
-    """Plan a change; raises `RequestInvalid` with every reason why it can't work.
+    """Plan a change; raises `RequestInvalid` with all reasons why it can't work.
 
-    ``running`` tells how many requests run on each endpoint, which the plan names
-    where they have to be waited for.
+    ``known_endpoints`` are the ids of the listed endpoints. ``running`` has the number
+    of running requests by endpoint id, which the plan states for endpoints that have to
+    be drained.
     """
-    faults = check_intent(intent, known_endpoints, now)
+    faults = check_intent(intent, known_endpoints, in_force)
     if faults:
         raise RequestInvalid("", "; ".join(faults))
     changes = (
-        *_endpoint_changes(intent, now.intent, running),
-        *_named_changes("model", now.intent.models, intent.models),
-        *_named_changes("service", now.intent.services, intent.services),
-        *_named_changes("team", now.intent.teams, intent.teams),
-        *_named_changes("class", now.intent.classes, intent.classes),
+        *_endpoint_changes(intent, in_force.intent, running),
+        *_named_changes("model", in_force.intent.models, intent.models),
+        *_named_changes("service", in_force.intent.services, intent.services),
+        *_named_changes("team", in_force.intent.teams, intent.teams),
+        *_named_changes("class", in_force.intent.classes, intent.classes),
     )
-    loads = sum(1 for each in changes if each.action == "load")
+    loads = sum(1 for change in changes if change.action == "load")
     rate = max(intent.loads_per_minute, 1)
     load_time_s = math.ceil(loads * SECONDS_PER_MINUTE / rate)
-    return Plan(plan_id, now.revision, intent, changes, loads, load_time_s)
+    return Plan(plan_id, in_force.revision, intent, changes, loads, load_time_s)
 
 
 def _endpoint_changes(
     intent: Intent, before: Intent, running: dict[str, int]
 ) -> list[Change]:
+    """Changes of all endpoints; ``before`` is the intent in force."""
     changes: list[Change] = []
-    for each in intent.endpoints:
-        old = before.endpoint(each.endpoint_id)
-        changes += _one_endpoint(each, old, intent, before, running)
+    for new in intent.endpoints:
+        old = before.endpoint(new.endpoint_id)
+        changes += _changes_of_endpoint(new, old, intent, before, running)
     for old in before.endpoints:
         if intent.endpoint(old.endpoint_id) is None:
             count = running.get(old.endpoint_id, 0)
@@ -229,18 +238,27 @@
     return changes
 
 
-def _one_endpoint(
+def _changes_of_endpoint(
     new: EndpointIntent,
     old: EndpointIntent | None,
     intent: Intent,
     before: Intent,
     running: dict[str, int],
 ) -> list[Change]:
-    wanted = {str(m.serves) for m in intent.models if m.name in new.models}
-    held = {str(m.serves) for m in before.models if old and m.name in old.models}
-    changes = [Change("load", new.endpoint_id, name) for name in sorted(wanted - held)]
+    """Changes of one endpoint; ``old`` is None if it is added."""
+    new_models = {
+        str(model.serves) for model in intent.models if model.name in new.models
+    }
+    old_models = {
+        str(model.serves) for model in before.models if old and model.name in old.models
+    }
+    changes = [
+        Change("load", new.endpoint_id, name)
+        for name in sorted(new_models - old_models)
+    ]
     changes += [
-        Change("unload", new.endpoint_id, name) for name in sorted(held - wanted)
+        Change("unload", new.endpoint_id, name)
+        for name in sorted(old_models - new_models)
     ]
     if old is None:
         changes.insert(0, Change("add", new.endpoint_id, new.kind.value))
@@ -256,8 +274,9 @@
 def _named_changes(
     subject: str, before: tuple[Any, ...], after: tuple[Any, ...]
 ) -> list[Change]:
-    old = {each.name: each for each in before}
-    new = {each.name: each for each in after}
+    """Items that were added, removed or changed between two lists, by name."""
+    old = {item.name: item for item in before}
+    new = {item.name: item for item in after}
     added = [Change("add", f"{subject} {name}") for name in new if name not in old]
     removed = [Change("remove", f"{subject} {name}") for name in old if name not in new]
     changed = [
@@ -269,6 +288,7 @@
 
 
 def _differences(old: Any, new: Any) -> str:
+    """The changed fields of an item; key hashes aren't shown."""
     before, after = cattrs.unstructure(old), cattrs.unstructure(new)
     return ", ".join(
         f"{key}: {before[key]!r} to {after[key]!r}"
