--- a/src/coursekeel/gateway/members/__init__.py
+++ b/src/coursekeel/gateway/members/__init__.py
@@ -1,3 +1,3 @@
-"""What instances tell each other: who is there, and what the store said."""
+"""Membership of the group, and store tables shared between its instances."""
 
 __all__: list[str] = []
--- a/src/coursekeel/gateway/members/_group.py
+++ b/src/coursekeel/gateway/members/_group.py
@@ -1,8 +1,8 @@
-"""This instance's part in its group: who the others are, and what they tell each other.
+"""Wires up this instance's group: membership, gossip and shared reads of the store.
 
 Owns the group's parts and their order of start and stop. Relies on `Swim` for the
-members, on a `TableFeed` for each table that others may ask for, and on `SharedSource`
-to ask them. Without an address for peers the instance is a group of one.
+members, on a `TableFeed` for each table that members may request, and on `SharedSource`
+to request tables from them. Without a peer address the instance is a group of one.
 """
 
 from collections.abc import Callable
@@ -32,16 +32,15 @@
 
 __all__ = ["Group"]
 
-# A connection within a site takes a few ms.
-_CONNECT_MS = 250
-# Word of another member's fresher proof takes some periods of the pings to come round,
-# and its age is known to a tick of either side.
-_FRESHER_MS = 1_500.0
+_CONNECT_TIMEOUT_MS = 250
+# Gossip about another member's newer confirmation takes several ping periods to arrive,
+# and its age is only accurate to a tick on either side.
+_NEWER_BY_MS = 1_500.0
 
 
 @define(eq=False)
 class Group:
-    """The members, as this instance sees and serves them."""
+    """This instance's view of the group, and the tables that it serves to members."""
 
     reactor: Reactor
     clock: Clock
@@ -52,7 +51,7 @@
     link: OwnLink
     quarantine: Quarantine
     bar_changed: Callable[[QuarantineEvent], None]
-    rollout_told: Callable[[RolloutMessage], None]
+    rollout_received: Callable[[RolloutMessage], None]
     swim: Swim = field(init=False)
     source: SharedSource = field(init=False)
     feeds: dict[Table, TableFeed] = field(init=False)
@@ -63,7 +62,7 @@
         now = self.settings.now
         own = now.listen.peers
         port = own.rpartition(":")[2]
-        seeds = tuple(f"{each.rpartition(':')[0]}:{port}" for each in now.seeds if own)
+        seeds = tuple(f"{seed.rpartition(':')[0]}:{port}" for seed in now.seeds if own)
         self.swim = Swim(
             own,
             now.zone,
@@ -72,7 +71,7 @@
             self.random,
             suspects_digest=lambda: self.quarantine.digest,
         )
-        self.feeds = {each: TableFeed(self.reactor, self.clock) for each in Table}
+        self.feeds = {table: TableFeed(self.reactor, self.clock) for table in Table}
         self.server = PeerServer(now.store, self.feeds)
         self.source = self._make_source()
         gossip = QuarantineGossip(
@@ -83,9 +82,9 @@
             self.clock,
             self.swim,
             gossip,
-            self._proven_ms,
+            self._confirmed_times_ms,
             self.bar_changed,
-            self.rollout_told,
+            self.rollout_received,
         )
 
     def _make_source(self) -> SharedSource:
@@ -93,7 +92,9 @@
         transfer = Transfer(
             timers.member_slack_ms, timers.member_transfer_ms, STORE_TRANSFER.most_bytes
         )
-        fetcher = Fetcher(self.reactor, _CONNECT_MS, transfer=transfer, link=self.link)
+        fetcher = Fetcher(
+            self.reactor, _CONNECT_TIMEOUT_MS, transfer=transfer, link=self.link
+        )
         return SharedSource(
             self.store,
             MemberReader(fetcher, self.settings.now.store),
@@ -113,55 +114,55 @@
                     Table.ENDPOINTS: timers.endpoints_peace_ms,
                 },
             ),
-            lambda table: self.feeds[table].asked_lately(),
+            lambda table: self.feeds[table].requested_recently(),
             lambda: self.feeds[Table.CONFIGURATION].configuration_version,
         )
 
-    def _proven_ms(self) -> dict[str, float]:
-        """The moment of this instance's last proof of each table."""
-        return {each.value: self.freshness.proven_ms(each.value) for each in Table}
+    def _confirmed_times_ms(self) -> dict[str, float]:
+        """The local time of the last confirmation of each table, by table name."""
+        return {table.value: self.freshness.proven_ms(table.value) for table in Table}
 
     def start(self) -> None:
-        """Join the others; an instance without an address for peers stays alone."""
+        """Join the group; does nothing without a peer address."""
         if self.swim.own:
             self._task.start()
 
     def stop(self) -> None:
-        """Tell the others that this instance stops; it goes on learning from them."""
+        """Announce to the members that this instance leaves; reads from them go on."""
         if self.swim.own:
             self._task.stop()
 
     def send(self, address: str, data: bytes) -> None:
-        """Give a datagram to a member."""
+        """Send an encoded datagram to the member at ``address``."""
         self._task.send(address, data)
 
     def tell_suspects(self, records: list[SuspectRecord]) -> None:
-        """Tell all others what this instance learned of suspect requests."""
+        """Send this instance's records of suspect requests to all members."""
         self._task.tell_suspects(records)
 
     def is_mine(self, name: str) -> bool:
-        """Say whether this instance does for all what is called ``name``."""
+        """Whether this instance runs the group-wide task ``name``."""
         return not self.swim.own or self.swim.chosen(name) == [self.swim.own]
 
     @property
     def members(self) -> int | None:
-        """How many instances there are or were lately, this one included.
+        """The number of current and recent members, this instance included.
 
-        None without an address for peers.
+        None without a peer address.
         """
         return self.swim.known if self.swim.own else None
 
     @property
     def alone_in_zone(self) -> bool:
-        """Say whether no other member is known in this availability zone."""
+        """Whether no other member is alive in this availability zone."""
         others = set(self.swim.alive(self.swim.zone)) - {self.swim.own}
         return bool(self.swim.own) and not others
 
     def store_is_away_for_all(self) -> bool:
-        """Say whether no member has a newer proof of the configuration than this one.
+        """Whether no member has a newer confirmation of the configuration than ours.
 
-        Not so for an instance that sees only the smaller part of its group: the others
-        may have what it lacks.
+        False for an instance that reaches only a minority of its group: the other part
+        may still reach the store.
         """
         table = Table.CONFIGURATION
         if not self.feeds[table].failing:
@@ -170,4 +171,4 @@
             return False
         own_ms = self.freshness.proven_ms(table.value)
         _, freshest_ms = self.swim.freshest(table.value)
-        return freshest_ms - own_ms < _FRESHER_MS
+        return freshest_ms - own_ms < _NEWER_BY_MS
--- a/src/coursekeel/gateway/members/_group_task.py
+++ b/src/coursekeel/gateway/members/_group_task.py
@@ -1,9 +1,9 @@
 """The task that owns this instance's datagrams to the members of its group.
 
-Owns the UDP socket and the tick. Relies on `Swim`, a core, for what is said and whom to
-believe. Nothing that comes here changes a configuration or stops an instance: it says
-who is there and whom to ask. A datagram counts only from the address that it names as
-its sender, so that nobody speaks in another's place.
+Owns the UDP socket and the tick. Relies on `Swim`, which does no I/O, for the messages
+and the state of members. A datagram never changes a configuration or stops an instance:
+it reports which members exist and which to query. It is accepted only from the address
+that it names as its sender, so that a member can't be impersonated.
 """
 
 import logging
@@ -44,72 +44,71 @@
 
 __all__ = ["GroupTask"]
 
-# How often the core looks at its deadlines: a part of the 300 ms in which a member
-# answers.
+# How often deadlines are checked: half of the 300 ms in which a member must answer.
 _TICK_MS = 150.0
-# One line at the most in so long for datagrams that are refused: a stranger must not
+# Minimum interval between log lines on refused datagrams: an unknown sender must not
 # fill the log.
-_REFUSALS_TOLD_MS = 1_000.0
+_REFUSAL_LOG_INTERVAL_MS = 1_000.0
 
 _Message = SwimMessage | UnreadableMessage | QuarantineMessage | UnreadableQuarantine
 
 
 @define(eq=False)
 class GroupTask(DatagramProtocol):
-    """Sends and receives what `Swim` and `QuarantineGossip` say.
+    """Sends and receives the messages of `Swim` and `QuarantineGossip`.
 
-    ``proven_ms`` gives the moments of this instance's own proofs, by table;
-    ``bar_changed`` is told of each request that is barred, or no longer, and
-    ``rollout_told`` of what members say of roll-outs.
+    ``confirmed_times_ms`` returns the local time of this instance's last confirmation
+    of each table. ``bar_changed`` is called when a request is barred or cleared, and
+    ``rollout_received`` with each roll-out message of a member.
     """
 
     reactor: Reactor
     clock: Clock
     swim: Swim
     gossip: QuarantineGossip
-    proven_ms: Callable[[], dict[str, float]]
+    confirmed_times_ms: Callable[[], dict[str, float]]
     bar_changed: Callable[[QuarantineEvent], None]
-    rollout_told: Callable[[RolloutMessage], None]
+    rollout_received: Callable[[RolloutMessage], None]
     _ticks: Periodic = field(init=False)
-    _refused: int = 0
-    _refusals_told_ms: float = float("-inf")
+    _refused_count: int = 0
+    _refusal_logged_ms: float = float("-inf")
 
     def __attrs_post_init__(self) -> None:
         self._ticks = Periodic(self.reactor, "group", _TICK_MS, self._tick)
 
     def start(self) -> None:
-        """Open the socket and join."""
+        """Open the socket and join the group."""
         host, port = _host_and_port(self.swim.own)
         self.reactor.listenUDP(port, self, interface=host)
         self._ticks.start()
 
     def stop(self) -> None:
-        """Say goodbye."""
+        """Announce that this instance leaves the group; the socket stays open."""
         self._ticks.stop()
         self._send(self.swim.leave())
 
     async def _tick(self) -> None:
-        for table, moment_ms in self.proven_ms().items():
-            self.swim.proved(table, moment_ms)
+        for table, confirmed_ms in self.confirmed_times_ms().items():
+            self.swim.proved(table, confirmed_ms)
         now_ms = self.clock.now_ms()
         self._send(self.swim.tick(now_ms))
         self.gossip.quarantine.forget(now_ms)
         self._log_events()
 
     def tell_suspects(self, records: list[SuspectRecord]) -> None:
-        """Tell all others what this instance learned of suspect requests."""
+        """Send this instance's records of suspect requests to all members."""
         if self.transport is not None:
-            self._tell(self.gossip.learned(records, self.clock.now_ms()))
+            self._send_quarantine(self.gossip.learned(records, self.clock.now_ms()))
         self._log_events()
 
     def send(self, address: str, data: bytes) -> None:
-        """Send a datagram that somebody else wrote."""
+        """Send an already encoded datagram to the member at ``address``."""
         if self.transport is not None:
             self._write(address, data)
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
         if data.startswith(CANARY_MARK):
-            self._take_rollout(data, addr)
+            self._receive_rollout(data, addr)
             return
         marked = data.startswith(MARK)
         message = decode_quarantine(data) if marked else decode_message(data)
@@ -120,30 +119,32 @@
         now_ms = self.clock.now_ms()
         if isinstance(message, SwimMessage):
             self._send(self.swim.received(message, now_ms))
-            self._tell(self.gossip.heard_digest(message.sender, message.suspects))
+            self._send_quarantine(
+                self.gossip.heard_digest(message.sender, message.suspects)
+            )
         elif isinstance(message, QuarantineMessage):
-            self._tell(self.gossip.received(message, now_ms))
+            self._send_quarantine(self.gossip.received(message, now_ms))
         self._log_events()
 
-    def _take_rollout(self, data: bytes, addr: Any) -> None:
-        read = decode_rollout(data)
-        if isinstance(read, UnreadableRollout):
-            self._refuse(read.fault, addr)
+    def _receive_rollout(self, data: bytes, addr: Any) -> None:
+        decoded = decode_rollout(data)
+        if isinstance(decoded, UnreadableRollout):
+            self._refuse(decoded.fault, addr)
             return
-        group, message = read
-        fault = self._stranger(group, message.sender, addr)
+        group, message = decoded
+        fault = self._sender_fault(group, message.sender, addr)
         if fault:
             self._refuse(fault, addr)
         else:
-            self.rollout_told(message)
+            self.rollout_received(message)
 
     def _fault_of(self, message: _Message, addr: Any) -> str:
         if isinstance(message, UnreadableMessage | UnreadableQuarantine):
             return message.fault
-        return self._stranger(message.group, message.sender, addr)
+        return self._sender_fault(message.group, message.sender, addr)
 
-    def _stranger(self, group: str, sender: str, addr: Any) -> str:
-        """Why a message isn't from who it names; empty if it is."""
+    def _sender_fault(self, group: str, sender: str, addr: Any) -> str:
+        """Why a message isn't from its group and sender; empty if it is."""
         if group != self.swim.group:
             return f"group: got {group!r:.60}, expected {self.swim.group!r:.60}"
         if sender != f"{addr[0]}:{addr[1]}":
@@ -151,26 +152,26 @@
         return ""
 
     def _refuse(self, fault: str, addr: Any) -> None:
-        self._refused += 1
+        self._refused_count += 1
         now_ms = self.clock.now_ms()
-        if now_ms - self._refusals_told_ms < _REFUSALS_TOLD_MS:
+        if now_ms - self._refusal_logged_ms < _REFUSAL_LOG_INTERVAL_MS:
             return
-        self._refusals_told_ms = now_ms
+        self._refusal_logged_ms = now_ms
         log_event(
             "datagram_refused",
             logging.WARNING,
             sender=f"{addr[0]}:{addr[1]}",
             fault=fault,
-            so_far=self._refused,
+            so_far=self._refused_count,
         )
 
     def _send(self, messages: list[Outgoing]) -> None:
-        for each in messages:
-            self._write(each.address, encode_message(each.message))
+        for outgoing in messages:
+            self._write(outgoing.address, encode_message(outgoing.message))
 
-    def _tell(self, messages: list[QuarantineOutgoing]) -> None:
-        for each in messages:
-            self._write(each.address, encode_quarantine(each.message))
+    def _send_quarantine(self, messages: list[QuarantineOutgoing]) -> None:
+        for outgoing in messages:
+            self._write(outgoing.address, encode_quarantine(outgoing.message))
 
     def _write(self, address: str, data: bytes) -> None:
         transport: Any = self.transport
@@ -194,10 +195,10 @@
             else:
                 log_event("request_cleared", fingerprint=bar.fingerprint)
         quarantine.events.clear()
-        for each in self.swim.events:
+        for event in self.swim.events:
             log_event(
-                f"member_{each.kind.value}",
-                member=each.address,
+                f"member_{event.kind.value}",
+                member=event.address,
                 alive=len(self.swim.alive()),
             )
         self.swim.events.clear()
--- a/src/coursekeel/gateway/members/_member_reader.py
+++ b/src/coursekeel/gateway/members/_member_reader.py
@@ -1,7 +1,7 @@
-"""Asks one member of the group for a table, once.
+"""Requests a table from one member of the group, once.
 
-Owns nothing. Relies on `Fetcher` for the question and on `_reading_codec` for what the
-answer says; who is asked, and what an answer is worth, `SharedSource` decides.
+Owns nothing. Relies on `Fetcher` for the request and on `_reading_codec` to decode the
+response; `SharedSource` decides which member is queried and whether a response counts.
 """
 
 from http import HTTPStatus
@@ -24,14 +24,14 @@
 
 @frozen
 class NothingNewer:
-    """A member knows no more than this instance does."""
+    """The member has no copy of the table that is recent enough."""
 
 
 @frozen
 class MemberFailed:
-    """A member gave no answer that can be used; ``reason`` is for the log.
+    """A member gave no usable response; ``reason`` is for the log.
 
-    ``received_bytes`` of an answer that was given up had come.
+    ``received_bytes`` is how much of a response had arrived when it was abandoned.
     """
 
     reason: str
@@ -40,12 +40,12 @@
 
 @define(eq=False)
 class MemberReader:
-    """Asks one member for a table."""
+    """Requests tables from members; ``group`` is sent with each request."""
 
     fetcher: Fetcher
     group: str
 
-    async def ask(
+    async def request(
         self,
         address: str,
         table: Table,
@@ -53,20 +53,24 @@
         wait_ms: float,
         timeout_ms: float,
     ) -> RelayedReading | NothingNewer | MemberFailed:
-        """Ask once; the answer must begin within ``timeout_ms``."""
+        """Request a table's changes after ``since``, or the whole table if it is None.
+
+        The member may hold the request for ``wait_ms``; the response must begin within
+        ``timeout_ms``.
+        """
         query = f"wait_ms={int(wait_ms)}"
         if since is not None:
             query += f"&since={since}"
-        return await self._ask(address, table, query, timeout_ms)
+        return await self._get(address, table, query, timeout_ms)
 
-    async def ask_above(
+    async def request_configuration_above(
         self, address: str, version: int, timeout_ms: float
     ) -> RelayedReading | NothingNewer | MemberFailed:
-        """Ask for the configuration, if it is later than a version."""
+        """Request the configuration if the member's is later than ``version``."""
         query = f"wait_ms=0&above={version}"
-        return await self._ask(address, Table.CONFIGURATION, query, timeout_ms)
+        return await self._get(address, Table.CONFIGURATION, query, timeout_ms)
 
-    async def _ask(
+    async def _get(
         self, address: str, table: Table, query: str, timeout_ms: float
     ) -> RelayedReading | NothingNewer | MemberFailed:
         group = quote(self.group, safe="")
@@ -80,5 +84,5 @@
             return MemberFailed(f"status {outcome.status}")
         reading = decode_reading(outcome.body)
         if isinstance(reading, UnreadableReading):
-            return MemberFailed(f"unreadable answer: {reading.fault}")
+            return MemberFailed(f"unreadable response: {reading.fault}")
         return reading
--- a/src/coursekeel/gateway/members/_peer_server.py
+++ b/src/coursekeel/gateway/members/_peer_server.py
@@ -1,16 +1,16 @@
-"""Where members of the group ask this instance what it knows.
+"""The HTTP server that serves this instance's copies of tables to its members.
 
-`GET /tables/NAME?group=…&since=…&wait_ms=…`; ``since`` is a moment,
-ERA.VERSION; without it the whole table. With ``above`` in its place, a version of the
-configuration, the whole if a later one is known. Answers
-200 with a reading, 404 if there is nothing newer than what the asker has, 400 to what
-can't be read, and 403 to members of another group. Nothing can be written here.
+`GET /tables/NAME?group=…&since=…&wait_ms=…`; ``since`` is a store position,
+ERA.VERSION; without it the whole table is sent. ``above`` in its place is a version of
+the configuration, and the whole table is sent if a later version is cached here.
+Responds with 200 and a snapshot or its changes, 404 if the copy here is missing, behind
+``since`` or not later than ``above``, 400 to a malformed request, and 403 to members of
+another group. The server is read-only.
 
-Readings are compressed for who takes that: all members of a zone ask at the same time,
-and the link of the one that they ask carries them all. Of 1,469 routes 305 kB are
-24 kB, in 1.5 ms of a core; for 18 members at 5 Mbit/s that is 0.7 s in place of 8.7.
+Responses are compressed where the requester accepts it: all members of a zone send
+their requests at the same time, to one member, whose link carries all the responses.
 
-Owns the questions that are open. Relies on a `TableFeed` for each table.
+Owns the open requests. Relies on a `TableFeed` for each table.
 """
 
 import gzip
@@ -30,24 +30,24 @@
     send_page,
 )
 from coursekeel.gateway.members._reading_codec import ReadingEncoder, RelayedReading
-from coursekeel.gateway.members._table_feed import Answered, TableFeed
+from coursekeel.gateway.members._table_feed import FeedAnswer, TableFeed
 from coursekeel.observe import log_event
 
 __all__ = ["TABLES_PATH", "PeerServer"]
 
 TABLES_PATH = "/tables/"
-# Questions come with no body and few headers, and a member asks again within seconds.
+# Requests have no body and few headers, and a member sends the next within seconds.
 _LIMITS = RequestLimits(header_bytes=4_096, body_bytes=0, idle_timeout_ms=15_000)
-# The longest that a question is held, whatever it asks for.
+# The longest that a request is held, whatever its ``wait_ms``.
 _MAX_WAIT_MS = 5_000
-# The fastest level: the slowest makes a reading smaller by 3 in 100 (see above).
+# The fastest level: slower ones make a snapshot only slightly smaller.
 _COMPRESSION_LEVEL = 1
-# Less fits one packet as it is.
-_LEAST_COMPRESSED_BYTES = 1_400
+# A smaller body fits one packet uncompressed.
+_MIN_COMPRESSED_BYTES = 1_400
 
 
 @frozen
-class _Question:
+class _TableRequest:
     table: Table
     group: str
     since: StoreMoment | None
@@ -57,7 +57,7 @@
 
 @define(eq=False)
 class PeerServer:
-    """Answers members; ``group`` names the deployment."""
+    """Responds to members' requests; ``group`` names the deployment."""
 
     group: str
     feeds: dict[Table, TableFeed]
@@ -66,54 +66,54 @@
     )
 
     def site(self) -> object:
-        """The HTTP server."""
+        """The HTTP server, to be listened with."""
         return caller_server(self.take, lambda: _LIMITS, OpenConnections())
 
     def take(self, request: CallerRequest) -> None:
-        """Take one question."""
+        """Respond to one request, now or when its table changes."""
         try:
-            question = _question_of(request)
+            table_request = _parse_request(request)
         except (KeyError, ValueError) as fault:
             send_page(request, StatusPage(HTTPStatus.BAD_REQUEST, f"{fault}".encode()))
             return
-        if question.group != self.group:
-            log_event("peer_refused", logging.WARNING, group=question.group)
+        if table_request.group != self.group:
+            log_event("peer_refused", logging.WARNING, group=table_request.group)
             send_page(request, StatusPage(HTTPStatus.FORBIDDEN, b"another group"))
             return
-        self._ask(request, question)
+        self._answer(request, table_request)
 
-    def _ask(self, request: CallerRequest, question: _Question) -> None:
-        def told(answer: Answered) -> None:
+    def _answer(self, request: CallerRequest, table_request: _TableRequest) -> None:
+        def send_answer(answer: FeedAnswer) -> None:
             if isinstance(answer, RelayedReading):
                 _send_reading(request, encoder.encode(answer))
             else:
                 send_page(request, StatusPage(HTTPStatus.NOT_FOUND, b"nothing newer"))
 
-        feed = self.feeds[question.table]
-        encoder = self._encoders[question.table]
-        if question.above is not None:
-            feed.ask_above(question.above, told)
+        feed = self.feeds[table_request.table]
+        encoder = self._encoders[table_request.table]
+        if table_request.above is not None:
+            feed.request_configuration_above(table_request.above, send_answer)
             return
-        withdraw = feed.ask(question.since, question.wait_ms, told)
+        withdraw = feed.request(table_request.since, table_request.wait_ms, send_answer)
         request.notifyFinish().addErrback(lambda _: withdraw())
 
 
 def _send_reading(request: CallerRequest, body: bytes) -> None:
     accepted = request.getHeader(b"accept-encoding") or b""
-    if b"gzip" in accepted and len(body) >= _LEAST_COMPRESSED_BYTES:
+    if b"gzip" in accepted and len(body) >= _MIN_COMPRESSED_BYTES:
         body = gzip.compress(body, _COMPRESSION_LEVEL)
         request.responseHeaders.setRawHeaders(b"content-encoding", [b"gzip"])
     send_page(request, StatusPage(HTTPStatus.OK, body))
 
 
-def _question_of(request: CallerRequest) -> _Question:
-    """Read a question; raises `KeyError` or `ValueError`, which name the field."""
+def _parse_request(request: CallerRequest) -> _TableRequest:
+    """Parse a request; raises `KeyError` or `ValueError`, which name the field."""
     path = request.path_name()
     if request.method != b"GET" or not path.startswith(TABLES_PATH):
         raise ValueError(f"got {request.method!r} {path}, expected GET {TABLES_PATH}")
     query = parse_qs(bytes(request.uri).partition(b"?")[2].decode("latin-1"))
     since, above = query.get("since"), query.get("above")
-    return _Question(
+    return _TableRequest(
         Table(path.removeprefix(TABLES_PATH)),
         query["group"][0],
         StoreMoment.parse(since[0]) if since else None,
--- a/src/coursekeel/gateway/members/_reading_codec.py
+++ b/src/coursekeel/gateway/members/_reading_codec.py
@@ -1,11 +1,10 @@
-"""How one gateway's knowledge of a table is written for another.
+"""Encodes and decodes the table snapshots and updates that gateways send each other.
 
-All that ask for a change at the same time are told the same rows, so these are written
-once: at 1,469 routes it takes 25 ms of a core, and a zone's 18 members would wait 0.9 s
-on half a core for the last.
+Members that wait for the same change receive the same rows, so the encoded rows are
+cached: encoding a large configuration once per member would delay the last ones.
 
-Owns the form: JSON, each field checked where it is decoded. Keys of teams travel as
-digests only, since that is all that a configuration holds here. Relies on
+Owns the format: JSON, each field validated when it is decoded. Team keys are sent as
+digests only, since a configuration holds nothing else here. Relies on
 `coursekeel.strict` and orjson.
 """
 
@@ -38,16 +37,17 @@
     "encode_reading",
 ]
 
-# Enough of a fault for a log line.
 _MAX_FAULT_CHARACTERS = 200
 
 
 @frozen
 class RelayedReading:
-    """What a member knows of a table.
+    """A member's copy of a table, or the changes of it that were requested.
 
-    ``held_ms`` is how long it held the question, and ``age_ms`` how old its proof was
-    when it answered, both by its own clock. ``failing``: it doesn't reach the store.
+    ``held_ms`` is how long the member held the request, and ``age_ms`` the age of its
+    last confirmation by the store when it responded, both by its own clock.
+    ``failing``: it can't get a newer confirmation. ``whole``: the entries are the whole
+    table, not changes.
     """
 
     moment: StoreMoment
@@ -60,14 +60,14 @@
 
 @frozen
 class UnreadableReading:
-    """An answer that can't be used; ``fault`` names the field and what was wrong."""
+    """A response that can't be decoded; ``fault`` names the field and the error."""
 
     fault: str
 
 
 @frozen
 class _EntryForm:
-    """One entry; exactly one of the last five is given."""
+    """One entry; exactly one of the last five fields is set."""
 
     moment: StoreMoment
     configuration: ForwardingConfiguration | None = None
@@ -79,7 +79,7 @@
 
 @frozen
 class _ReadingForm:
-    """A reading as it is decoded; `ReadingEncoder` writes the same fields."""
+    """The decoded form of a response; `ReadingEncoder` writes the same fields."""
 
     moment: StoreMoment
     whole: bool
@@ -108,46 +108,50 @@
 
 @define(eq=False)
 class ReadingEncoder:
-    """Writes the readings of one table, and keeps the rows that were written last."""
+    """Encodes responses for one table, and caches the last encoded rows."""
 
-    _entries: tuple[Versioned, ...] = ()
-    _written: orjson.Fragment = field(factory=lambda: orjson.Fragment(b"[]"))
+    _cached_entries: tuple[Versioned, ...] = ()
+    _encoded_entries: orjson.Fragment = field(factory=lambda: orjson.Fragment(b"[]"))
 
     def encode(self, reading: RelayedReading) -> bytes:
-        """The body of an answer."""
-        if reading.entries != self._entries:
-            self._written = orjson.Fragment(_encode_entries(reading.entries))
-            self._entries = reading.entries
+        """The body of a response."""
+        if reading.entries != self._cached_entries:
+            self._encoded_entries = orjson.Fragment(_encode_entries(reading.entries))
+            self._cached_entries = reading.entries
         form = {
             "moment": {"era": reading.moment.era, "version": reading.moment.version},
             "whole": reading.whole,
             "held_ms": reading.held_ms,
             "age_ms": reading.age_ms,
             "failing": reading.failing,
-            "entries": self._written,
+            "entries": self._encoded_entries,
         }
         return orjson.dumps(form)
 
 
 def encode_reading(reading: RelayedReading) -> bytes:
-    """The body of an answer that is written only once."""
+    """The body of a response, without a cache of its rows."""
     return ReadingEncoder().encode(reading)
 
 
 def _encode_entries(entries: tuple[Versioned, ...]) -> bytes:
     forms = [
-        attrs.asdict(_form_of(each), filter=_given, value_serializer=_plain)
-        for each in entries
+        attrs.asdict(
+            _form_from_versioned(versioned),
+            filter=_is_set,
+            value_serializer=_json_value,
+        )
+        for versioned in entries
     ]
     return orjson.dumps(forms)
 
 
 def decode_reading(body: bytes) -> RelayedReading | UnreadableReading:
-    """Read the body of an answer."""
+    """Decode the body of a response; never raises."""
     try:
         form = _CONVERTER.structure(orjson.loads(body), _ReadingForm)
-        entries = tuple(_entry_of(each) for each in form.entries)
-    except Exception as failure:  # whatever a stranger sends is a value here
+        entries = tuple(_versioned_from_form(entry_form) for entry_form in form.entries)
+    except Exception as failure:  # any malformed input becomes a value
         faults = "; ".join(faults_of(failure, whole="reading"))
         return UnreadableReading(faults[:_MAX_FAULT_CHARACTERS])
     return RelayedReading(
@@ -155,7 +159,7 @@
     )
 
 
-def _form_of(versioned: Versioned) -> _EntryForm:
+def _form_from_versioned(versioned: Versioned) -> _EntryForm:
     entry, moment = versioned.entry, versioned.moment
     match entry:
         case ForwardingConfiguration():
@@ -170,25 +174,25 @@
             return _EntryForm(moment, unreadable=entry)
 
 
-def _entry_of(form: _EntryForm) -> Versioned:
-    given = (
+def _versioned_from_form(form: _EntryForm) -> Versioned:
+    fields = (
         form.configuration,
         form.endpoint,
         form.order,
         form.removed,
         form.unreadable,
     )
-    entries = [each for each in given if each is not None]
+    entries = [entry for entry in fields if entry is not None]
     if len(entries) != 1:
         raise ValueError(f"got {len(entries)} kinds of entry, expected 1")
     return Versioned(entries[0], form.moment)
 
 
-def _given(_field: Any, value: Any) -> bool:
+def _is_set(_field: Any, value: Any) -> bool:
     return value is not None
 
 
-def _plain(_owner: Any, _field: Any, value: Any) -> Any:
+def _json_value(_owner: Any, _field: Any, value: Any) -> Any:
     if isinstance(value, Enum):
         return value.value
     return sorted(value) if isinstance(value, frozenset) else value
--- a/src/coursekeel/gateway/members/_shared_source.py
+++ b/src/coursekeel/gateway/members/_shared_source.py
@@ -1,20 +1,22 @@
-"""Where this instance learns a table: from the store, or from a member that knows it.
-
-Rule: one member of each larger availability zone asks the store and the others ask that
-one, so that the store's calls grow with the zones and not with the instances. Who
-doesn't get a proof that way asks the member with the freshest proof that it has heard
-of, and the store itself. A member's word counts by its proof, whose age it tells: the
-moment that was proven is this instance's own of sending the question, plus the time
-that the member held it, less the age it told. Nothing on the way can make it younger.
-Word without a newer proof counts only while its proof is as young as proofs are in
-peace: members that tell each other that all is well must not take that for the store's
-word, and one that the store fell silent for must not keep a change from the others.
-
-A store that has eras may be an older copy whose operator hasn't written again yet. So
-one that has read its first configuration there asks a member, once, for a later one.
-
-Owns which members are left alone for a moment, and when the store was asked. Relies on
-`Swim` for the members and on `Source` for the store.
+"""Reads a table from the store, or from a member that has a recent copy of it.
+
+Rule: one member of each larger availability zone queries the store and the others query
+that member, so that store calls grow with the zones and not with the instances. An
+instance that gets no confirmation that way queries the member with the newest
+confirmation known from gossip, and the store itself.
+
+A member's response counts by the age of its confirmation. The confirmed time is the
+local time at which the request was sent, plus the time the member held it, less that
+age, so that network delay can't make it younger. A response without a newer
+confirmation counts only while its confirmation is no older than usual: members must not
+confirm each other's state while the store is down, nor hide a change from the others.
+
+A store with eras may have been restored from a backup, and its operator may not have
+written again yet. So after its first configuration an instance queries members, until
+one responds, for a later one.
+
+Owns which members are avoided for a while, and when the store was last queried. Relies
+on `Swim` for the members and on `Source` for the store.
 """
 
 import logging
@@ -46,66 +48,67 @@
 
 __all__ = ["SharedSource", "SharingTerms"]
 
-# A member that gave no answer, or none that helps, is left alone for so long. A member
-# that is gone is known to be after some seconds.
-_SILENT_AVOIDED_MS = 3_000.0
-_STALE_AVOIDED_MS = 1_000.0
-# In a smaller availability zone each asks the store itself: one that asks for two must
-# ask twice as often, so that nothing is saved, and what each proves is its own.
-_LEAST_SHARING = 3
-# Members that are asked before the store.
-_MOST_ASKED = 2
-# A proof that is younger by less isn't worth another question.
-_FRESHER_MS = 500.0
-# While members answer and none has a newer proof, a store that didn't answer this
-# instance is asked so seldom: those who ask for their zones look for its return.
-_STORE_AGAIN_MS = 3_000.0
-# Whoever asks the store for a zone leaves one that failed alone for so long, and asks
-# members meanwhile. About the pause of a task that follows the store alone.
+# How long a member is avoided after no response or a stale one. Membership itself takes
+# some seconds to detect a member that is gone.
+_AVOID_SILENT_MS = 3_000.0
+_AVOID_STALE_MS = 1_000.0
+# In a smaller availability zone each instance queries the store itself: a member that
+# queries for two must do so twice as often, so that nothing is saved.
+_MIN_SHARING_MEMBERS = 3
+# Members that are queried before the store.
+_MAX_MEMBERS_QUERIED = 2
+# A confirmation that is newer by less isn't worth another request.
+_NEWER_BY_MS = 500.0
+# Mean interval between queries to a store that failed this instance, while members
+# respond without a newer confirmation: the zones' store readers detect its return.
+_STORE_RETRY_MS = 3_000.0
+# How long a store reader queries members instead after the store failed it. About the
+# pause of a task that follows the store alone.
 _STORE_PAUSE_MS = 600.0
-# Members count as answering for so long after one did: longer than one that had nothing
-# newer is left alone.
-_REACHED_LATELY_MS = 2_500.0
+# Members count as responding for so long after one did: longer than a member with
+# nothing newer is avoided.
+_MEMBERS_REACHED_MS = 2_500.0
 
 _Outcome = Reading | HistoryGone | SourceFailed
 
 
 @frozen
 class SharingTerms:
-    """How long a member may hold a question, and how much later its answer may come.
+    """Time limits of requests to members and of store queries that serve members too.
 
-    Together they bound how long a member that fell silent leaves this instance without
-    news, so that both are parts of the bound on endpoints that leave. By table,
-    ``shared_hold_ms`` is how long the store holds a question that is asked for others
-    too, and ``peace_ms`` how old the asker's proof gets while the store answers.
+    A member holds a request for at most ``hold_ms``, and its response may begin
+    ``slack_ms`` later; together they bound how long a member that stopped responding
+    delays an update. By table, ``shared_hold_ms`` is how long the store holds a query
+    that serves members too, and ``usual_age_ms`` the age that a confirmation reaches
+    while the store responds.
     """
 
     hold_ms: float
     slack_ms: float
     shared_hold_ms: Mapping[Table, float]
-    peace_ms: Mapping[Table, float]
+    usual_age_ms: Mapping[Table, float]
 
 
 @define
-class _Asked:
-    """What came of the questions after one table; moments are this process's own.
+class _QueryState:
+    """Results of the queries for one table; times are local.
 
-    ``avoided_until_ms`` are members that had nothing newer. ``store_answers`` says
-    whether the store answered the last question of this instance's own.
+    ``avoided_until_ms`` holds the members that had nothing newer. ``store_answers`` is
+    whether the store answered this instance's last query.
     """
 
     avoided_until_ms: dict[str, float] = field(factory=dict)
     reached_ms: float = -math.inf
-    store_asked_ms: float = -math.inf
+    store_queried_ms: float = -math.inf
     store_answers: bool = True
 
 
 @define(eq=False)
 class SharedSource(Source):
-    """A source whose questions members answer where they can.
+    """A source that reads from members where it can, and else from the store.
 
-    Each table has one `FollowTask`, so that its questions never cross. ``asked_lately``
-    says whether members ask this instance after a table.
+    Each table has one `FollowTask`, so that its queries never overlap.
+    ``requested_recently`` says whether members request a table from this instance.
     """
 
     store: Source
@@ -115,24 +118,26 @@
     random: Random
     freshness: Freshness
     terms: SharingTerms
-    asked_lately: Callable[[Table], bool]
+    requested_recently: Callable[[Table], bool]
     configuration_version: Callable[[], int]
     relayed: int = 0
     store_calls: int = 0
     answers_cut: int = 0
-    _asked: dict[Table, _Asked] = field(factory=lambda: {t: _Asked() for t in Table})
+    _query_states: dict[Table, _QueryState] = field(
+        factory=lambda: {t: _QueryState() for t in Table}
+    )
     _silent_until_ms: dict[str, float] = field(factory=dict)
-    _compared: bool = False
+    _compared_with_member: bool = False
 
     def hold_ms(self, table: Table, usual_ms: float) -> float:
-        """Whoever others ask must learn sooner than one that nobody asks."""
-        if self._asks_for_others() or self.asked_lately(table):
+        """How long the store may hold a query; less if it serves members too."""
+        if self._queries_for_zone() or self.requested_recently(table):
             return min(usual_ms, self.terms.shared_hold_ms[table])
         return usual_ms
 
     async def read(self, table: Table, timeout_ms: float) -> Reading | SourceFailed:
-        """Read a table whole."""
-        if self._asks_store():
+        """Read a table whole, from the store or a member."""
+        if self._queries_store():
             outcome = await self._read_store(table, timeout_ms)
             if not isinstance(outcome, SourceFailed):
                 return outcome
@@ -146,88 +151,96 @@
     async def follow(
         self, table: Table, since: StoreMoment, hold_ms: float, timeout_ms: float
     ) -> _Outcome:
-        """Read what changed since a moment, held until something did."""
-        peace_ms = self.terms.peace_ms[table]
+        """Read the changes after ``since``, or wait for some for ``hold_ms``."""
+        usual_age_ms = self.terms.usual_age_ms[table]
         if (later := await self._later_configuration(table, since)) is not None:
             return later
-        if self._asks_store() and not self._store_was_just_asked(table):
+        if self._queries_store() and not self._store_just_failed(table):
             outcome = await self._follow_store(table, since, hold_ms, timeout_ms)
             if not isinstance(outcome, SourceFailed):
                 return outcome
-            relayed = await self._from_members(table, since, 0.0, peace_ms)
+            relayed = await self._from_members(table, since, 0.0, usual_age_ms)
             return relayed if relayed is not None else outcome
-        asked_any = bool(self._candidates(table))
-        held_ms = self._member_hold_ms(table, hold_ms, peace_ms)
-        relayed = await self._from_members(table, since, held_ms, peace_ms)
+        had_candidates = bool(self._candidates(table))
+        held_ms = self._member_hold_ms(table, hold_ms, usual_age_ms)
+        relayed = await self._from_members(table, since, held_ms, usual_age_ms)
         if relayed is not None:
             return relayed
         if not self._store_is_due(table):
-            return SourceFailed("no member has a newer proof")
-        # Asking members in vain took its time already: the proof must come at once.
+            return SourceFailed("no member has a newer confirmation")
+        # The members took their time already: the store must confirm without a hold.
         shared_ms = min(hold_ms, self.terms.shared_hold_ms[table])
-        wait_ms = 0.0 if asked_any else shared_ms
+        wait_ms = 0.0 if had_candidates else shared_ms
         return await self._follow_store(table, since, wait_ms, timeout_ms)
 
     async def _later_configuration(
         self, table: Table, since: StoreMoment
     ) -> Reading | None:
-        """A member's configuration, if the store gave an older one than it knows.
+        """A member's configuration if it is later than ours, once per process.
 
-        The position in the store stays that of this instance's own reading.
+        The store position stays that of this instance's own read.
         """
-        if self._compared or not since.era or table is not Table.CONFIGURATION:
+        if (
+            self._compared_with_member
+            or not since.era
+            or table is not Table.CONFIGURATION
+        ):
             return None
-        others = [each for each in self.swim.alive() if each != self.swim.own]
-        for address in sorted(others, key=self._turn)[:_MOST_ASKED]:
+        others = [member for member in self.swim.alive() if member != self.swim.own]
+        for address in sorted(others, key=self._query_order)[:_MAX_MEMBERS_QUERIED]:
             sent_ms, version = self.clock.now_ms(), self.configuration_version()
             limit_ms = self.terms.slack_ms
-            told = await self.members.ask_above(address, version, limit_ms)
-            if isinstance(told, MemberFailed):
+            reply = await self.members.request_configuration_above(
+                address, version, limit_ms
+            )
+            if isinstance(reply, MemberFailed):
                 continue
-            self._compared = True
-            if isinstance(told, NothingNewer):
+            self._compared_with_member = True
+            if isinstance(reply, NothingNewer):
                 return None
-            entries = tuple(evolve(each, moment=since) for each in told.entries)
-            proven_ms = sent_ms - max(told.age_ms, 0.0)
+            entries = tuple(evolve(entry, moment=since) for entry in reply.entries)
+            proven_ms = sent_ms - max(reply.age_ms, 0.0)
             log_event("later_configuration", member=address)
             return Reading(entries, since, 0.0, whole=False, proven_ms=proven_ms)
         return None
 
-    def _member_hold_ms(self, table: Table, hold_ms: float, peace_ms: float) -> float:
-        """Held no longer than until the proof known here is older than in peace."""
+    def _member_hold_ms(
+        self, table: Table, hold_ms: float, usual_age_ms: float
+    ) -> float:
+        """How long a member may hold a request: until the confirmation gets too old."""
         age_ms = self.freshness.age_ms(table.value, self.clock.now_ms())
-        left_ms = max(0.0, peace_ms - age_ms)
+        left_ms = max(0.0, usual_age_ms - age_ms)
         return min(hold_ms, self.terms.hold_ms, left_ms)
 
-    def _asks_store(self) -> bool:
-        """Say whether this instance asks the store, for its zone or for itself."""
-        return not self._zone_shares() or self._asks_for_others()
+    def _queries_store(self) -> bool:
+        """Whether this instance queries the store, for its zone or for itself."""
+        return not self._zone_is_shared() or self._queries_for_zone()
 
-    def _asks_for_others(self) -> bool:
+    def _queries_for_zone(self) -> bool:
         swim = self.swim
-        return self._zone_shares() and swim.holder(swim.zone) == swim.own
+        return self._zone_is_shared() and swim.holder(swim.zone) == swim.own
 
-    def _zone_shares(self) -> bool:
-        return len(self.swim.alive(self.swim.zone)) >= _LEAST_SHARING
+    def _zone_is_shared(self) -> bool:
+        return len(self.swim.alive(self.swim.zone)) >= _MIN_SHARING_MEMBERS
 
-    def _store_was_just_asked(self, table: Table) -> bool:
-        """Say whether the store failed this instance a moment ago.
+    def _store_just_failed(self, table: Table) -> bool:
+        """Whether the store failed this instance within the last pause.
 
-        Members may follow it meanwhile: one that the store turns away would otherwise
-        be failing between any two of their proofs.
+        Members are queried meanwhile: an instance that the store refuses would
+        otherwise report a failure between any two of their confirmations.
         """
-        asked = self._asked[table]
-        since_ms = self.clock.now_ms() - asked.store_asked_ms
-        return not asked.store_answers and since_ms < _STORE_PAUSE_MS
+        state = self._query_states[table]
+        since_ms = self.clock.now_ms() - state.store_queried_ms
+        return not state.store_answers and since_ms < _STORE_PAUSE_MS
 
-    # The store.
+    # Queries to the store.
 
     async def _read_store(
         self, table: Table, timeout_ms: float
     ) -> Reading | SourceFailed:
-        question = self._calls_store(table, 0.0)
+        question = self._begin_store_query(table, 0.0)
         outcome = await self.store.read(table, timeout_ms)
-        self._store_answered(table, outcome)
+        self._record_store_outcome(table, outcome)
         if isinstance(outcome, Reading):
             return evolve(outcome, question=question)
         return outcome
@@ -235,39 +248,39 @@
     async def _follow_store(
         self, table: Table, since: StoreMoment, hold_ms: float, timeout_ms: float
     ) -> _Outcome:
-        question = self._calls_store(table, hold_ms)
+        question = self._begin_store_query(table, hold_ms)
         outcome = await self.store.follow(table, since, hold_ms, timeout_ms)
-        self._store_answered(table, outcome)
+        self._record_store_outcome(table, outcome)
         if isinstance(outcome, Reading):
             return evolve(outcome, question=question)
         return outcome
 
-    def _calls_store(self, table: Table, hold_ms: float) -> StoreQuestion:
-        """The question as it goes to the store.
+    def _begin_store_query(self, table: Table, hold_ms: float) -> StoreQuestion:
+        """Record a query to the store, with the time and hold that it is sent with.
 
-        Members may have been asked before it in vain, and the hold isn't the one that
-        whoever follows the table wanted. A proof must rest on what the store was asked.
+        These may differ from those of the caller's query, since members may have been
+        queried first. A confirmation must be computed from the store's own query.
         """
         self.store_calls += 1
-        now_ms = self._asked[table].store_asked_ms = self.clock.now_ms()
+        now_ms = self._query_states[table].store_queried_ms = self.clock.now_ms()
         return StoreQuestion(now_ms, hold_ms)
 
-    def _store_answered(self, table: Table, outcome: _Outcome) -> None:
-        asked = self._asked[table]
-        asked.store_answers = not isinstance(outcome, SourceFailed)
+    def _record_store_outcome(self, table: Table, outcome: _Outcome) -> None:
+        state = self._query_states[table]
+        state.store_answers = not isinstance(outcome, SourceFailed)
         if isinstance(outcome, SourceFailed):
-            self._tell_cut(table, "store", outcome, asked.store_asked_ms)
+            self._log_cut_answer(table, "store", outcome, state.store_queried_ms)
 
-    def _tell_cut(
+    def _log_cut_answer(
         self,
         table: Table,
         source: str,
         failed: SourceFailed | MemberFailed,
-        asked_ms: float,
+        queried_ms: float,
     ) -> None:
-        """An answer that was on its way when it was given up is worth a line.
+        """Log and count a response that had begun to arrive when it was abandoned.
 
-        From outside it looks like a source that is silent, and asking again can't help.
+        Unlike with a silent source, a retry can't help on a link that is too slow.
         """
         if not failed.received_bytes:
             return
@@ -278,96 +291,111 @@
             table=table.value,
             source=source,
             received_bytes=failed.received_bytes,
-            took_ms=round(self.clock.now_ms() - asked_ms),
+            took_ms=round(self.clock.now_ms() - queried_ms),
         )
 
     def _store_is_due(self, table: Table) -> bool:
-        """Not so soon again while members answer and the store doesn't."""
-        asked, now_ms = self._asked[table], self.clock.now_ms()
-        if asked.store_answers or now_ms - asked.reached_ms > _REACHED_LATELY_MS:
+        """Whether to query the store; seldom while only members respond."""
+        state, now_ms = self._query_states[table], self.clock.now_ms()
+        if state.store_answers or now_ms - state.reached_ms > _MEMBERS_REACHED_MS:
             return True
-        wait_ms = _STORE_AGAIN_MS * (0.5 + self.random.random())
-        return now_ms - asked.store_asked_ms >= wait_ms
+        wait_ms = _STORE_RETRY_MS * (0.5 + self.random.random())
+        return now_ms - state.store_queried_ms >= wait_ms
 
-    # Members.
+    # Requests to members.
 
     async def _from_members(
-        self, table: Table, since: StoreMoment | None, wait_ms: float, peace_ms: float
+        self,
+        table: Table,
+        since: StoreMoment | None,
+        wait_ms: float,
+        usual_age_ms: float,
     ) -> Reading | None:
-        """A member's reading that helps; None if none has one.
+        """A member's usable snapshot or update; None if no member has one.
 
-        One whose proof is no newer than this instance's own helps only while it is
-        younger than ``peace_ms``. After one that is silent the store is asked, if it
-        answers: another might be silent too, and of the bound on changes enough must
-        be left for an answer of the store that is long.
+        One whose confirmation is no newer than this instance's own is usable only
+        while it is no older than ``usual_age_ms``. After a member that is silent the
+        store is queried, if it answers: another member might be silent too, and the
+        bound on changes must leave time for a long response of the store.
         """
-        for address in self._candidates(table)[:_MOST_ASKED]:
+        for address in self._candidates(table)[:_MAX_MEMBERS_QUERIED]:
             sent_ms = self.clock.now_ms()
             limit_ms = wait_ms + self.terms.slack_ms
-            told = await self.members.ask(address, table, since, wait_ms, limit_ms)
-            match told:
+            reply = await self.members.request(address, table, since, wait_ms, limit_ms)
+            match reply:
                 case MemberFailed():
-                    self._silent(table, address, told.reason)
-                    self._tell_cut(table, address, told, sent_ms)
-                    if self._asked[table].store_answers:
+                    self._avoid_silent(table, address, reply.reason)
+                    self._log_cut_answer(table, address, reply, sent_ms)
+                    if self._query_states[table].store_answers:
                         return None
                 case NothingNewer():
-                    self._stale(table, address)
+                    self._avoid_stale(table, address)
                 case RelayedReading():
-                    proven_ms = sent_ms + told.held_ms - max(told.age_ms, 0.0)
-                    in_peace = not told.failing and told.age_ms <= peace_ms
-                    if in_peace or self._is_fresher(table, proven_ms):
-                        return self._relayed(table, told, proven_ms)
-                    self._stale(table, address)
+                    proven_ms = sent_ms + reply.held_ms - max(reply.age_ms, 0.0)
+                    is_usual = not reply.failing and reply.age_ms <= usual_age_ms
+                    if is_usual or self._is_newer(table, proven_ms):
+                        return self._reading_from_reply(table, reply, proven_ms)
+                    self._avoid_stale(table, address)
         return None
 
-    def _relayed(self, table: Table, told: RelayedReading, proven_ms: float) -> Reading:
+    def _reading_from_reply(
+        self, table: Table, reply: RelayedReading, proven_ms: float
+    ) -> Reading:
         self.relayed += 1
-        self._asked[table].reached_ms = self.clock.now_ms()
-        return Reading(told.entries, told.moment, 0.0, told.whole, proven_ms=proven_ms)
+        self._query_states[table].reached_ms = self.clock.now_ms()
+        return Reading(
+            reply.entries, reply.moment, 0.0, reply.whole, proven_ms=proven_ms
+        )
 
-    def _is_fresher(self, table: Table, proven_ms: float) -> bool:
+    def _is_newer(self, table: Table, proven_ms: float) -> bool:
         return proven_ms > self.freshness.proven_ms(table.value)
 
     def _candidates(self, table: Table) -> list[str]:
-        """The zone's own, the freshest heard of, and those of other zones by lot.
+        """The members to query, in order.
 
-        Who knows nothing yet asks anybody after them: in an outage, one that starts and
-        is to ask for its zone had nobody to ask, since the freshest proof that others
-        told of was its own earlier life's.
+        These are the zone's store reader, the member with the newest confirmation, and
+        the store readers of other zones at random. An instance without any confirmation
+        also tries all other members: after a restart during an outage, gossip may still
+        name its own previous process as the newest.
         """
         swim = self.swim
-        freshest, moment_ms = swim.freshest(table.value)
-        holders = [swim.holder(zone) for zone in swim.zones()]
-        self.random.shuffle(holders)
-        wanted = [swim.holder(swim.zone)]
-        if self._is_fresher(table, moment_ms - _FRESHER_MS):
-            wanted.append(freshest)
-        wanted += holders
+        freshest, confirmed_ms = swim.freshest(table.value)
+        store_readers = [swim.holder(zone) for zone in swim.zones()]
+        self.random.shuffle(store_readers)
+        addresses = [swim.holder(swim.zone)]
+        if self._is_newer(table, confirmed_ms - _NEWER_BY_MS):
+            addresses.append(freshest)
+        addresses += store_readers
         if not math.isfinite(self.freshness.proven_ms(table.value)):
-            wanted += sorted(swim.alive(), key=self._turn)
-        others = (each for each in wanted if each not in ("", swim.own))
-        return [each for each in dict.fromkeys(others) if self._may_ask(table, each)]
-
-    def _turn(self, address: str) -> int:
-        """An order of the members that differs from one asker to the next."""
+            addresses += sorted(swim.alive(), key=self._query_order)
+        others = (address for address in addresses if address not in ("", swim.own))
+        return [
+            address
+            for address in dict.fromkeys(others)
+            if self._may_query(table, address)
+        ]
+
+    def _query_order(self, address: str) -> int:
+        """A sort key of members that differs from one instance to the next."""
         return xxhash.xxh64_intdigest(f"{self.swim.own}/{address}".encode())
 
-    def _may_ask(self, table: Table, address: str) -> bool:
-        stale_until_ms = self._asked[table].avoided_until_ms.get(address, -math.inf)
+    def _may_query(self, table: Table, address: str) -> bool:
+        stale_until_ms = self._query_states[table].avoided_until_ms.get(
+            address, -math.inf
+        )
         silent_until_ms = self._silent_until_ms.get(address, -math.inf)
         return self.clock.now_ms() >= max(stale_until_ms, silent_until_ms)
 
-    def _silent(self, table: Table, address: str, reason: str) -> None:
-        self._silent_until_ms[address] = self.clock.now_ms() + _SILENT_AVOIDED_MS
+    def _avoid_silent(self, table: Table, address: str, reason: str) -> None:
+        self._silent_until_ms[address] = self.clock.now_ms() + _AVOID_SILENT_MS
         log_event(
             "member_passed_over", member=address, table=table.value, reason=reason
         )
 
-    def _stale(self, table: Table, address: str) -> None:
-        asked, now_ms = self._asked[table], self.clock.now_ms()
-        asked.reached_ms = now_ms
-        asked.avoided_until_ms[address] = now_ms + _STALE_AVOIDED_MS
+    def _avoid_stale(self, table: Table, address: str) -> None:
+        state, now_ms = self._query_states[table], self.clock.now_ms()
+        state.reached_ms = now_ms
+        state.avoided_until_ms[address] = now_ms + _AVOID_STALE_MS
         log_event(
             "member_passed_over",
             member=address,
--- a/src/coursekeel/gateway/members/_table_feed.py
+++ b/src/coursekeel/gateway/members/_table_feed.py
@@ -1,14 +1,14 @@
-"""One table as this instance knows it, for the members of its group that ask.
+"""Serves this instance's copy of one table to the members of its group.
 
-Rule: a question names the moment up to which the asker knows the table. It is answered
-as soon as there is more to tell, a newer proof, or the news that this instance doesn't
-reach the store; at the latest when its time is over. The answer says how old the proof
-is. An asker that knows more than this instance gets nothing from it, so that nobody's
-knowledge goes back. A configuration isn't replaced by an older one, which a store that
-came back from a copy may have until its operator writes again.
+Rule: a request names the store position up to which the requester has the table. It is
+answered as soon as there are changes, a newer confirmation, or a failure to reach the
+store, and at the latest after its wait time. The answer states the confirmation's age.
+A requester that is ahead of this instance gets no rows, so that its state never goes
+back. A configuration isn't replaced by an older one, which a store restored from a
+backup may serve until its operator writes again.
 
-Owns the rows known, what changed since the table was read whole, and the questions that
-wait. Relies on `FollowTask`, which tells of each reading.
+Owns the cached rows, the changes since the table was last read whole, and the waiting
+requests. Relies on `FollowTask`, which passes on each snapshot and update.
 """
 
 import math
@@ -29,170 +29,179 @@
 from coursekeel.runtime import Clock
 from coursekeel.units import MS_PER_SECOND
 
-__all__ = ["Answered", "NotAhead", "TableFeed"]
+__all__ = ["FeedAnswer", "NoNewerState", "TableFeed"]
 
-# Rows that are gone are kept so that an asker hears of them; beyond this the next
-# answers are whole. More than go in a minute at a large site.
-_MAX_GONE = 1_000
+# Tombstones of removed rows are kept so that requesters learn of removals; above this
+# number they are dropped, and requesters with an older position get the whole table.
+_MAX_REMOVED_ROWS = 1_000
 
-# Longer than a member may hold a question, and the time until it is asked again.
-_ASKED_LATELY_MS = 3_000.0
+# Longer than a request may be held plus the time until a member's next request.
+_RECENT_REQUEST_MS = 3_000.0
 
-# The one configuration; its table holds the orders of roll-outs too.
+# Key of the configuration's row; its table also holds the roll-out orders.
 _CONFIGURATION = "configuration"
 
 
 @frozen
-class NotAhead:
-    """This instance knows less than the asker, or nothing at all."""
+class NoNewerState:
+    """The requester's copy is at least as recent, or there is none here."""
 
 
-Answered = RelayedReading | NotAhead
-_Told = Callable[[Answered], None]
+FeedAnswer = RelayedReading | NoNewerState
+_SendAnswer = Callable[[FeedAnswer], None]
 
 
 @define(eq=False)
-class _Waiter:
+class _WaitingRequest:
     since: StoreMoment
-    asked_ms: float
-    told: _Told
+    received_ms: float
+    send_answer: _SendAnswer
     timer: Any = None
 
 
 @define(eq=False)
 class TableFeed:
-    """Answers questions after one table."""
+    """Answers members' requests for one table."""
 
     reactor: Reactor
     clock: Clock
     failing: bool = False
-    _moment: StoreMoment | None = None
+    _position: StoreMoment | None = None
     _complete_since: StoreMoment = field(factory=StoreMoment)
-    _proven_ms: float = -math.inf
+    _confirmed_ms: float = -math.inf
     _rows: dict[str, Versioned] = field(factory=dict)
-    _gone: int = 0
-    _asked_ms: float = -math.inf
-    _waiters: list[_Waiter] = field(factory=list)
-
-    # What this instance learns.
-
-    def took(self, reading: Reading, proven_ms: float) -> None:
-        """A reading was taken, which proves the table as of a moment."""
-        known = self._rows.get(_CONFIGURATION)
-        if reading.whole or self._gone > _MAX_GONE:
-            kept = {} if reading.whole else self._present()
-            self._rows, self._gone = kept, 0
+    _removed_rows: int = 0
+    _requested_ms: float = -math.inf
+    _waiters: list[_WaitingRequest] = field(factory=list)
+
+    # Updates from the store.
+
+    def took(self, reading: Reading, confirmed_ms: float) -> None:
+        """Store a snapshot or update that confirms the table as of ``confirmed_ms``.
+
+        ``confirmed_ms`` is a local time; `FollowTask` calls this after applying it.
+        """
+        cached = self._rows.get(_CONFIGURATION)
+        if reading.whole or self._removed_rows > _MAX_REMOVED_ROWS:
+            rows = {} if reading.whole else self._present()
+            self._rows, self._removed_rows = rows, 0
             self._complete_since = reading.moment
-        for each in reading.entries:
-            self._rows[_key_of(each)] = _newest(known, each)
-            self._gone += isinstance(each.entry, Removed)
-        self._moment = reading.moment
-        self._proven_ms = max(self._proven_ms, proven_ms)
+        for versioned in reading.entries:
+            self._rows[_key_of(versioned)] = _newer_configuration(cached, versioned)
+            self._removed_rows += isinstance(versioned.entry, Removed)
+        self._position = reading.moment
+        self._confirmed_ms = max(self._confirmed_ms, confirmed_ms)
         self.failing = False
-        self._wake()
+        self._answer_waiters()
 
     def failed(self) -> None:
-        """Nobody who could be asked has a newer proof."""
+        """Answer waiting requests: no source has a newer confirmation."""
         if not self.failing:
             self.failing = True
-            self._wake()
+            self._answer_waiters()
 
     def _present(self) -> dict[str, Versioned]:
         rows = self._rows.items()
         return {k: row for k, row in rows if not isinstance(row.entry, Removed)}
 
-    # What others ask.
+    # Requests of members.
 
-    def ask(
-        self, since: StoreMoment | None, wait_ms: float, told: _Told
+    def request(
+        self, since: StoreMoment | None, wait_ms: float, send_answer: _SendAnswer
     ) -> Callable[[], None]:
-        """Answer now or later; calling what is returned withdraws the question."""
-        now_ms = self._asked_ms = self.clock.now_ms()
-        if self._moment is None:
-            told(NotAhead())
-            return _nothing
-        if since is None or self._answers_at_once(since):
-            told(self._answer(since, now_ms))
-            return _nothing
-        waiter = _Waiter(since, now_ms, told)
+        """Answer now or within ``wait_ms``; returns a function that cancels that."""
+        now_ms = self._requested_ms = self.clock.now_ms()
+        if self._position is None:
+            send_answer(NoNewerState())
+            return _cancel_nothing
+        if since is None or self._can_answer_at_once(since):
+            send_answer(self._answer(since, now_ms))
+            return _cancel_nothing
+        waiter = _WaitingRequest(since, now_ms, send_answer)
         wait_s = wait_ms / MS_PER_SECOND
-        waiter.timer = self.reactor.callLater(wait_s, self._over, waiter)
+        waiter.timer = self.reactor.callLater(wait_s, self._wait_expired, waiter)
         self._waiters.append(waiter)
         return lambda: self._withdraw(waiter)
 
     @property
     def configuration_version(self) -> int:
-        """The version of the configuration known here, -1 if there is none."""
+        """The version of the cached configuration, -1 if there is none."""
         row = self._rows.get(_CONFIGURATION)
         if row is None or not isinstance(row.entry, ForwardingConfiguration):
             return -1
         return row.entry.version
 
-    def ask_above(self, version: int, told: _Told) -> None:
-        """Answer whole if a later configuration than the asker's is known here."""
+    def request_configuration_above(
+        self, version: int, send_answer: _SendAnswer
+    ) -> None:
+        """Answer with the whole table if the cached configuration is later."""
         if self.configuration_version > version:
-            told(self._answer(None, self.clock.now_ms()))
+            send_answer(self._answer(None, self.clock.now_ms()))
         else:
-            told(NotAhead())
+            send_answer(NoNewerState())
 
-    def asked_lately(self) -> bool:
-        """Say whether members ask here: they ask again within a moment."""
-        return self.clock.now_ms() - self._asked_ms < _ASKED_LATELY_MS
+    def requested_recently(self) -> bool:
+        """Whether a member has requested this table within the last few seconds."""
+        return self.clock.now_ms() - self._requested_ms < _RECENT_REQUEST_MS
 
-    def _answers_at_once(self, since: StoreMoment) -> bool:
+    def _can_answer_at_once(self, since: StoreMoment) -> bool:
         if self.failing:
             return True
-        assert self._moment is not None
-        if since.era < self._moment.era:
+        assert self._position is not None
+        if since.era < self._position.era:
             return True
-        return since < self._moment and bool(self._changes(since))
+        return since < self._position and bool(self._changes(since))
 
-    def _withdraw(self, waiter: _Waiter) -> None:
+    def _withdraw(self, waiter: _WaitingRequest) -> None:
         if waiter in self._waiters:
             self._waiters.remove(waiter)
             waiter.timer.cancel()
 
-    def _wake(self) -> None:
-        assert self._moment is not None or self.failing
+    def _answer_waiters(self) -> None:
+        assert self._position is not None or self.failing
         for waiter in list(self._waiters):
-            behind = self._moment is None or waiter.since > self._moment
+            behind = self._position is None or waiter.since > self._position
             if self.failing or not behind:
                 self._withdraw(waiter)
-                waiter.told(self._answer(waiter.since, waiter.asked_ms))
+                waiter.send_answer(self._answer(waiter.since, waiter.received_ms))
 
-    def _over(self, waiter: _Waiter) -> None:
+    def _wait_expired(self, waiter: _WaitingRequest) -> None:
         self._waiters.remove(waiter)
-        waiter.told(self._answer(waiter.since, waiter.asked_ms))
+        waiter.send_answer(self._answer(waiter.since, waiter.received_ms))
 
-    def _answer(self, since: StoreMoment | None, asked_ms: float) -> Answered:
-        if self._moment is None or (since is not None and since > self._moment):
-            return NotAhead()
+    def _answer(self, since: StoreMoment | None, received_ms: float) -> FeedAnswer:
+        if self._position is None or (since is not None and since > self._position):
+            return NoNewerState()
         now_ms = self.clock.now_ms()
         whole = since is None or since < self._complete_since
         least = StoreMoment() if since is None else since
         entries = tuple(self._present().values()) if whole else self._changes(least)
         return RelayedReading(
-            self._moment,
+            self._position,
             whole,
-            now_ms - asked_ms,
-            now_ms - self._proven_ms,
+            now_ms - received_ms,
+            now_ms - self._confirmed_ms,
             self.failing,
             entries,
         )
 
     def _changes(self, since: StoreMoment) -> tuple[Versioned, ...]:
-        newer = [each for each in self._rows.values() if each.moment > since]
-        return tuple(sorted(newer, key=lambda each: each.moment))
+        newer = [row for row in self._rows.values() if row.moment > since]
+        return tuple(sorted(newer, key=lambda row: row.moment))
 
 
-def _newest(known: Versioned | None, read: Versioned) -> Versioned:
-    """What is told of a row: never a configuration older than the one known."""
-    before = known.entry if known is not None else None
+def _newer_configuration(cached: Versioned | None, received: Versioned) -> Versioned:
+    """The row to keep: a configuration is never replaced by an older one."""
+    before = cached.entry if cached is not None else None
     if not isinstance(before, ForwardingConfiguration):
-        return read
-    if not isinstance(read.entry, ForwardingConfiguration):
-        return read
-    return evolve(read, entry=before) if before.version > read.entry.version else read
+        return received
+    if not isinstance(received.entry, ForwardingConfiguration):
+        return received
+    return (
+        evolve(received, entry=before)
+        if before.version > received.entry.version
+        else received
+    )
 
 
 def _key_of(versioned: Versioned) -> str:
@@ -206,5 +215,5 @@
     return entry.entry_id
 
 
-def _nothing() -> None:
-    """The question has been answered."""
+def _cancel_nothing() -> None:
+    """Cancels nothing: the request was answered at once."""
--- a/tests/common/group_world.py
+++ b/tests/common/group_world.py
@@ -236,7 +236,7 @@
         self.world, self.name = world, name
         self.told_age = 1.0
 
-    async def ask(self, address, table, since, wait_ms, timeout_ms):
+    async def request(self, address, table, since, wait_ms, timeout_ms):
         world, held = self.world, Deferred()
         world.later(timeout_ms, self._too_late, held)
         world.later(
@@ -244,12 +244,14 @@
         )
         return await held
 
-    async def ask_above(self, address, version, timeout_ms):
+    async def request_configuration_above(self, address, version, timeout_ms):
         world, held = self.world, Deferred()
         world.later(timeout_ms, self._too_late, held)
         if (address in world.cut) == (self.name in world.cut):
             feed = world.instances[address].feed
-            feed.ask_above(version, lambda answer: self._told(held, answer))
+            feed.request_configuration_above(
+                version, lambda answer: self._told(held, answer)
+            )
         return await held
 
     def _reach(self, address, since, wait_ms, held) -> None:
@@ -260,7 +262,7 @@
         if other.frozen:
             world.later(STEP_MS, self._reach, address, since, wait_ms, held)
             return
-        other.feed.ask(since, wait_ms, lambda answer: self._told(held, answer))
+        other.feed.request(since, wait_ms, lambda answer: self._told(held, answer))
 
     def _told(self, held: Deferred, answer) -> None:
         if isinstance(answer, RelayedReading):
@@ -311,7 +313,7 @@
                 {Table.CONFIGURATION: TIMERS.shared_configuration_hold_ms},
                 {Table.CONFIGURATION: TIMERS.configuration_peace_ms},
             ),
-            lambda _: self.feed.asked_lately(),
+            lambda _: self.feed.requested_recently(),
             lambda: self.feed.configuration_version,
         )
         table = FollowedTable(
--- a/tests/cover/test_follow_task.py
+++ b/tests/cover/test_follow_task.py
@@ -172,5 +172,5 @@
     feed = TableFeed(reactor, clock)
     reactor.advance(1)
     feed.took(Reading((), at(5), 0.0, whole=True), -3_000.0)
-    feed.ask(None, 0.0, told.append)
+    feed.request(None, 0.0, told.append)
     assert told[0].age_ms == 4_000.0
--- a/tests/cover/test_shared_source.py
+++ b/tests/cover/test_shared_source.py
@@ -438,7 +438,7 @@
     world.run(ends_ms)
     world.away, world.cut = set(world.instances), set(world.instances)
     for each in world.instances.values():
-        each.members.ask = AsyncMock(return_value=MemberFailed("cut"))
+        each.members.request = AsyncMock(return_value=MemberFailed("cut"))
     world.change("k1")
     acted_ms = [0.0]
     while world.now_ms - world.revoked_ms["k1"] < TIMERS.revoke_ms:
