--- a/src/coursekeel/gateway/rollouts/__init__.py
+++ b/src/coursekeel/gateway/rollouts/__init__.py
@@ -1,3 +1,3 @@
-"""Roll-outs at a gateway: which version a request meets, and who judges it."""
+"""Roll-outs at a gateway: which version serves a request, and how it is evaluated."""
 
 __all__: list[str] = []
--- a/src/coursekeel/gateway/rollouts/_rollout_task.py
+++ b/src/coursekeel/gateway/rollouts/_rollout_task.py
@@ -1,11 +1,11 @@
-"""Carries roll-outs on: reports and rulings between members, and the operators' record.
+"""Runs roll-outs: exchanges reports and rulings, and writes the stored record.
 
-Each period every instance reports what it has counted to the members that conduct a
-roll-out (`Swim.chosen`), and each of these answers with its ruling. A verdict is told
-to all members at once. Without an address for peers an instance conducts by itself.
+In each period every instance sends its counts to the members that conduct a roll-out
+(`Swim.chosen`), and each of these responds with its ruling. A ruling that changes the
+phase is sent to all members at once. Without a peer address an instance conducts alone.
 
-Owns the conductors of this instance and what it knows of their records. Relies on
-`Conductor` and `Rollouts`, cores, for every decision.
+Owns the conductors of this instance and its copies of their records. Relies on
+`Conductor` and `Rollouts`, which do no I/O, for every decision.
 """
 
 import logging
@@ -38,38 +38,41 @@
 
 __all__ = ["CanaryTask", "report_period_ms"]
 
-_Send = Callable[[str, bytes], None]
+_SendDatagram = Callable[[str, bytes], None]
 
-# How often a fleet reports: one that conducts for 380 members takes 330 reports a
-# second.
-_LEAST_PERIOD_MS = 500.0
-_PERIOD_A_MEMBER_MS = 3.0
-# Of the time until a condemned version gets nothing more: a report, a verdict that is
-# lost once, and the next ruling fit in.
-_PERIODS_TO_ROLL_BACK = 4
-# The name of an instance without an address for peers.
-_ALONE = ""
+# The report period grows with the group, which bounds the rate of reports that a
+# conductor receives.
+_MIN_PERIOD_MS = 500.0
+_PERIOD_PER_MEMBER_MS = 3.0
+# Report periods within the limit for a rollback: enough for a report, a ruling that is
+# lost once, and the next ruling.
+_PERIODS_PER_ROLLBACK = 4
+# The name of an instance without a peer address.
+_NO_PEER_ADDRESS = ""
 
 
 def report_period_ms(members: int, rollback_ms: float) -> float:
-    """How often an instance of so many reports."""
-    wanted_ms = max(_LEAST_PERIOD_MS, _PERIOD_A_MEMBER_MS * members)
-    return min(wanted_ms, rollback_ms / _PERIODS_TO_ROLL_BACK)
+    """The period of an instance's reports in a group of ``members``."""
+    period_ms = max(_MIN_PERIOD_MS, _PERIOD_PER_MEMBER_MS * members)
+    return min(period_ms, rollback_ms / _PERIODS_PER_ROLLBACK)
 
 
 @define(eq=False)
 class _Conducted:
-    """A roll-out that this instance conducts, and its record once it was read."""
+    """A roll-out that this instance conducts, and its record once it was read.
+
+    ``record_was_read`` stays set when ``record`` is dropped to be read again.
+    """
 
     conductor: Conductor
     record: RolloutRecord | None = None
-    read_before: bool = False
+    record_was_read: bool = False
     writing: bool = False
 
 
 @define(eq=False)
 class CanaryTask:
-    """One instance's part in all roll-outs; ``send`` gives a datagram to a member."""
+    """One instance's part in all roll-outs; ``send`` sends a datagram to a member."""
 
     reactor: Reactor
     clock: Clock
@@ -80,7 +83,7 @@
     records: RolloutRecords
     timeout_ms: float
     period_ms: Callable[[], float]
-    send: _Send
+    send: _SendDatagram
     _conducted: dict[str, _Conducted] = field(factory=dict)
     _ticks: Periodic = field(init=False)
 
@@ -89,22 +92,22 @@
 
     @property
     def own(self) -> str:
-        """This instance among the members."""
-        return self.swim.own or _ALONE
+        """This instance's name among the members."""
+        return self.swim.own or _NO_PEER_ADDRESS
 
     def stop(self) -> None:
-        """Report and rule no more."""
+        """Send no more reports and rulings."""
         self._ticks.stop()
 
     def ordered(self) -> None:
-        """An order was taken."""
+        """Start the periodic reports; called when an order was applied."""
         self._ticks.interval_ms = self.period_ms()
         self._ticks.start()
 
     def store_restored(self) -> None:
-        """The store may have forgotten what was recorded."""
-        for each in self._conducted.values():
-            each.record = None
+        """Read the records again: a restored store may lack them."""
+        for conducted in self._conducted.values():
+            conducted.record = None
         if self._conducted:
             self._ticks.start()
 
@@ -115,17 +118,17 @@
         for pool, rollout in list(self.rollouts.by_pool.items()):
             self._report(pool, rollout)
             self._conduct(pool, rollout)
-        if not any(self._is_open(each) for each in self.rollouts.by_pool.values()):
+        if not any(self._is_unfinished(r) for r in self.rollouts.by_pool.values()):
             self._ticks.stop()
 
-    def _is_open(self, rollout: PoolRollout) -> bool:
+    def _is_unfinished(self, rollout: PoolRollout) -> bool:
         conducted = self._conducted.get(rollout.order.pool)
-        recorded = conducted is None or self._is_recorded(conducted)
+        recorded = conducted is None or self._record_is_current(conducted)
         return not rollout.phase.final or not recorded
 
     def _conductors(self, pool: str) -> list[str]:
         if not self.swim.own:
-            return [_ALONE]
+            return [_NO_PEER_ADDRESS]
         return self.swim.chosen(f"rollout/{pool}", CONDUCTORS)
 
     def _report(self, pool: str, rollout: PoolRollout) -> None:
@@ -138,24 +141,24 @@
         if self.own in conductors:
             conducted = self._conducted_of(rollout)
             conducted.conductor.report(report, self.clock.now_ms())
-        others = [each for each in conductors if each != self.own]
+        others = [member for member in conductors if member != self.own]
         for data in encode_report(self.swim.group, report) if others else ():
             for address in others:
                 self.send(address, data)
 
     def _old_runs(self, pool: str) -> int:
         loads = [self.router.load(e) for e in self.rollouts.old_endpoints(pool)]
-        return sum(each.limit.running for each in loads if each is not None)
+        return sum(load.limit.running for load in loads if load is not None)
 
     def _conducted_of(self, rollout: PoolRollout) -> _Conducted:
-        """This instance's conductor of an order; a later order has another one."""
+        """This instance's conductor of an order; a later order gets a new one."""
         pool = rollout.order.pool
-        known = self._conducted.get(pool)
-        if known is not None and known.conductor.order == rollout.order:
-            later_era = rollout.moment.era > known.conductor.moment.era
-            if later_era or known.conductor.moment == rollout.moment:
-                known.conductor.moment = rollout.moment
-                return known
+        current = self._conducted.get(pool)
+        if current is not None and current.conductor.order == rollout.order:
+            later_era = rollout.moment.era > current.conductor.moment.era
+            if later_era or current.conductor.moment == rollout.moment:
+                current.conductor.moment = rollout.moment
+                return current
         conductor = Conductor(
             rollout.order, rollout.moment, self.rollouts.bounds, rollout.began_ms
         )
@@ -168,20 +171,20 @@
             return
         conducted = self._conducted_of(rollout)
         conductor, before = conducted.conductor, conducted.conductor.phase
-        if conducted.read_before:
+        if conducted.record_was_read:
             leading = conductors[0] == self.own
             has_new = self.rollouts.has_new(pool)
             conductor.look(self.clock.now_ms(), leading, has_new)
-            self._rule(conducted, before)
-        if not conducted.writing and not self._is_recorded(conducted):
+            self._apply_own_ruling(conducted, before)
+        if not conducted.writing and not self._record_is_current(conducted):
             conducted.writing = True
-            spawn(self._keep_record(conducted), "rollout_record", self.reactor)
+            spawn(self._sync_record(conducted), "rollout_record", self.reactor)
 
-    def _rule(self, conducted: _Conducted, before: Phase) -> None:
-        """Obey the own ruling; one that changes the phase is told to all at once."""
+    def _apply_own_ruling(self, conducted: _Conducted, before: Phase) -> None:
+        """Apply this instance's own ruling, and send it to all if the phase changed."""
         conductor = conducted.conductor
         ruling = self._ruling(conducted)
-        self._heard(ruling)
+        self._apply_ruling(ruling)
         if conductor.phase is before:
             return
         log_event(
@@ -200,21 +203,21 @@
         in_force = self.rollouts.known_in_force(conductor.order.pool)
         return conductor.ruling(self.own, self.clock.now_ms(), in_force)
 
-    # What members say.
+    # Messages of members.
 
     def received(self, message: RolloutMessage) -> None:
-        """Take a member's message."""
+        """Process a report or ruling of a member."""
         if message.sender not in self.swim.others():
             return
         if isinstance(message, Ruling):
-            self._heard(message)
+            self._apply_ruling(message)
         else:
-            self._take_report(message)
+            self._receive_report(message)
 
-    def _heard(self, ruling: Ruling) -> None:
+    def _apply_ruling(self, ruling: Ruling) -> None:
         conducted = self._conducted.get(ruling.pool)
         if conducted is not None and ruling.phase.final:
-            self._other_judged(conducted.conductor, ruling)
+            self._adopt_final_phase(conducted.conductor, ruling)
         if not self.rollouts.heard(ruling, self.clock.now_ms()):
             return
         log_event(
@@ -224,15 +227,15 @@
             phase=ruling.phase.value,
             conductor=ruling.sender,
         )
-        self.site.tell_routing()
+        self.site.update_routing()
 
-    def _other_judged(self, conductor: Conductor, ruling: Ruling) -> None:
-        """The other conductor's final word is this one's too."""
-        ours = ruling.target == conductor.order.target
-        if ours and ruling.moment >= conductor.moment:
+    def _adopt_final_phase(self, conductor: Conductor, ruling: Ruling) -> None:
+        """Adopt the final phase of the other conductor."""
+        same_target = ruling.target == conductor.order.target
+        if same_target and ruling.moment >= conductor.moment:
             conductor.found(RolloutState(ruling.phase.value))
 
-    def _take_report(self, report: RolloutReport) -> None:
+    def _receive_report(self, report: RolloutReport) -> None:
         rollout = self.rollouts.by_pool.get(report.pool)
         if rollout is None or report.target != rollout.order.target:
             return
@@ -241,34 +244,34 @@
         conducted = self._conducted_of(rollout)
         if self.own in self._conductors(report.pool):
             conducted.conductor.report(report, self.clock.now_ms())
-            if self._is_open(rollout):
+            if self._is_unfinished(rollout):
                 self._ticks.start()
-        if conducted.read_before:
+        if conducted.record_was_read:
             ruling = encode_ruling(self.swim.group, self._ruling(conducted))
             self.send(report.sender, ruling)
 
     # The record.
 
-    def _wanted(self, conducted: _Conducted) -> RolloutState:
+    def _state_to_record(self, conducted: _Conducted) -> RolloutState:
         now_ms = self.clock.now_ms()
-        members = self.swim.alive() if self.swim.own else [_ALONE]
+        members = self.swim.alive() if self.swim.own else [_NO_PEER_ADDRESS]
         return conducted.conductor.wanted(now_ms, members)
 
-    def _is_recorded(self, conducted: _Conducted) -> bool:
+    def _record_is_current(self, conducted: _Conducted) -> bool:
         record, conductor = conducted.record, conducted.conductor
         if record is None or not record.answers(conductor.order, conductor.moment):
             return False
-        return record.state is self._wanted(conducted)
+        return record.state is self._state_to_record(conducted)
 
-    async def _keep_record(self, conducted: _Conducted) -> None:
+    async def _sync_record(self, conducted: _Conducted) -> None:
         try:
             before = conducted.conductor.phase
             if conducted.record is None:
                 await self._read_record(conducted)
-            if conducted.record is not None and not self._is_recorded(conducted):
+            if conducted.record is not None and not self._record_is_current(conducted):
                 await self._write_record(conducted, conducted.record)
-            if conducted.read_before:
-                self._rule(conducted, before)
+            if conducted.record_was_read:
+                self._apply_own_ruling(conducted, before)
         finally:
             conducted.writing = False
 
@@ -278,25 +281,25 @@
         if isinstance(record, RecordFailed):
             log_event("rollout_unread", reason=record.reason)
             return
-        conducted.record, conducted.read_before = record, True
-        ours = record.answers(conductor.order, conductor.moment)
-        if ours and record.state is not None:
+        conducted.record, conducted.record_was_read = record, True
+        is_current = record.answers(conductor.order, conductor.moment)
+        if is_current and record.state is not None:
             conductor.found(record.state)
 
     async def _write_record(self, conducted: _Conducted, before: RolloutRecord) -> None:
-        conductor, wanted = conducted.conductor, self._wanted(conducted)
+        conductor, state = conducted.conductor, self._state_to_record(conducted)
         conductors = self._conductors(conductor.order.pool)
-        if wanted is not RolloutState.ROLLED_BACK and conductors[0] != self.own:
-            # The other conductor writes it; what it wrote is read at the next look.
+        if state is not RolloutState.ROLLED_BACK and conductors[0] != self.own:
+            # The other conductor writes it; this one reads it again in the next period.
             conducted.record = None
             return
         written = await self.records.write(
-            conductor.order, wanted, before, self.timeout_ms
+            conductor.order, state, before, self.timeout_ms
         )
         if not isinstance(written, RolloutRecord):
             conducted.record = None
             log_event("rollout_unwritten", logging.WARNING, outcome=written)
             return
         conducted.record = written
-        conductor.recorded(wanted)
-        log_event("rollout_recorded", pool=conductor.order.pool, state=wanted.value)
+        conductor.recorded(state)
+        log_event("rollout_recorded", pool=conductor.order.pool, state=state.value)
--- a/src/coursekeel/gateway/rollouts/_version_choice.py
+++ b/src/coursekeel/gateway/rollouts/_version_choice.py
@@ -1,6 +1,7 @@
-"""What requests' tasks ask and tell of versions that are rolled out.
+"""Chooses a version for each request during a roll-out, and reports its outcome.
 
-Owns nothing. Relies on `Rollouts`, a core, for every decision.
+Used by the tasks that send requests. Owns nothing. Relies on `Rollouts`, which does no
+I/O, for every decision.
 """
 
 from attrs import define, field
@@ -13,20 +14,21 @@
 
 __all__ = ["VersionChoice"]
 
-# A stream's first event and its end take different times, so they are counted apart.
-_FIRST_EVENT = "#first"
+# Suffix of the route name under which a stream's first event is counted, apart from its
+# end, since the two have different latencies.
+_FIRST_EVENT_SUFFIX = "#first"
 
 
 @define(eq=False)
 class VersionChoice:
-    """One gateway's; without a ``router`` there are no orders."""
+    """The versions that one gateway uses; without a ``router`` it has no orders."""
 
     clock: Clock = field(factory=Clock)
     rollouts: Rollouts = field(factory=Rollouts.none)
     router: Router | None = None
 
     def pool_for(self, call: AdmittedRequest, first: bool) -> str:
-        """Where routing looks; ``first``: the request was never placed before."""
+        """The pool to route a request to; ``first``: it was never placed before."""
         return self.rollouts.pool_for(
             call.pool, self.clock.now_ms(), first, self._has_room
         )
@@ -37,30 +39,32 @@
         return self.router.endpoints.has_room(pool, self.clock.now_ms())
 
     def may_have(self, endpoint: EndpointRecord) -> bool:
-        """Say whether a request may still be sent to the endpoint."""
+        """Whether the roll-out allows a request to be sent to the endpoint."""
         return self.rollouts.may_have(endpoint)
 
     def named(self, endpoint_id: str) -> str:
-        """The endpoint's version while its pool has an order; empty otherwise."""
+        """The endpoint's version while its pool has a roll-out order; else empty."""
         return self.rollouts.ordered_version(endpoint_id)
 
     def ended(
         self, call: AdmittedRequest, endpoint_id: str, failed: bool, took_ms: float
     ) -> None:
-        """An endpoint gave its whole answer, or none in the time it had."""
-        self._tell(call, call.route.name, endpoint_id, failed, took_ms)
+        """Record that an answer finished, or ``failed`` to, after ``took_ms``."""
+        self._record_outcome(call, call.route.name, endpoint_id, failed, took_ms)
 
     def first_event(
         self, call: AdmittedRequest, endpoint_id: str, took_ms: float
     ) -> None:
-        """A stream's endpoint gave its first event."""
-        self._tell(call, call.route.name + _FIRST_EVENT, endpoint_id, False, took_ms)
+        """Record that a stream's first event arrived after ``took_ms``."""
+        self._record_outcome(
+            call, call.route.name + _FIRST_EVENT_SUFFIX, endpoint_id, False, took_ms
+        )
 
     def lost(self, call: AdmittedRequest, endpoint_id: str) -> None:
-        """An endpoint lost the request with its connection, or fell silent."""
-        self._tell(call, call.route.name, endpoint_id, True, 0.0, lost=True)
+        """Record that an endpoint lost the request: it disconnected or stalled."""
+        self._record_outcome(call, call.route.name, endpoint_id, True, 0.0, lost=True)
 
-    def _tell(
+    def _record_outcome(
         self,
         call: AdmittedRequest,
         route: str,
--- a/src/coursekeel/gateway/site/__init__.py
+++ b/src/coursekeel/gateway/site/__init__.py
@@ -1,3 +1,3 @@
-"""What is known of the site, and how the store is followed."""
+"""The cached configuration and endpoints of the site, and how the store is followed."""
 
 __all__: list[str] = []
--- a/src/coursekeel/gateway/site/_follow_task.py
+++ b/src/coursekeel/gateway/site/_follow_task.py
@@ -1,10 +1,10 @@
-"""Keeps one table of the store as this instance knows it.
+"""Follows one table of the store and applies its changes.
 
-Rule: a position is good within its era only. After a store has come back from an older
-copy its table is read whole again, and an answer of an earlier era changes nothing.
+Rule: a store position is valid within its era only. After a store was restored from a
+backup the whole table is read again, and a response of an earlier era changes nothing.
 
-Owns the moment up to which the table was read. Relies on a `Source` for each question,
-and tells `Freshness` which moment each answer proves.
+Owns the position up to which the table was read. Relies on a `Source` for each query,
+and reports to `Freshness` the time as of which each response confirms the table.
 """
 
 import logging
@@ -38,35 +38,33 @@
 
 __all__ = ["FollowTask", "FollowedTable"]
 
-# Pauses after failed questions double from the first to the longest, each shortened by
-# lot to between half and all of it. Long enough that a store in trouble isn't asked
-# much more than in peace (once in some seconds), short enough that its return is seen
-# well before the two seconds after which missing endpoints count as gone.
-_FIRST_PAUSE_MS = 300.0  # see above
-_LONGEST_PAUSE_MS = 600.0  # see above
-# More doublings than reach the longest pause would only make greater numbers.
+# Backoff after failed queries: doubles from the first to the longest pause, each with a
+# random factor between a half and one. Long enough not to load a failing store, and
+# short enough that its return is detected well before the two seconds after which
+# missing endpoints count as gone.
+_FIRST_PAUSE_MS = 300.0
+_LONGEST_PAUSE_MS = 600.0
+# Caps the exponent; the longest pause is reached before.
 _MAX_DOUBLINGS = 3
 
-# How much later than its hold an answer may begin before the question is given up. The
-# store's own answers take some ms.
+# How long after its hold a response may begin before the query is abandoned.
 _ANSWER_SLACK_MS = 600.0
 
 
-def _unheard() -> None:
-    """Nobody needs to know."""
+def _ignore() -> None:
+    """Default of an optional callback."""
 
 
 @frozen
 class FollowedTable:
-    """A table, and how it is followed.
-
-    ``hold_ms`` is how long the store may hold a question until something changes.
-    Changes come in bursts and each question is paid for, so after one the next waits
-    for ``gathering_ms``. ``take`` puts a reading in force. After failures ``came_back``
-    is told how old the last proof was, in ms, before the reading is taken. ``failed``
-    is told of each question that brought nothing, ``restored`` before the first
-    reading of a later era is taken, and ``proved`` up to which moment all of the
-    table is known.
+    """A table, how it is queried, and the callbacks for what happens to it.
+
+    ``hold_ms``: how long the store may hold a query until something changes.
+    ``gathering_ms``: pause after a change, since changes come in bursts.
+    ``take``: applies a snapshot or update. ``came_back``: called before the first one
+    after failures, with the age of the last confirmation in ms. ``failed``: called for
+    each failed query. ``restored``: called before the first snapshot of a later era is
+    applied. ``proved``: called with the position up to which all of the table was read.
     """
 
     table: Table
@@ -74,8 +72,8 @@
     gathering_ms: float
     take: Callable[[Reading], None]
     came_back: Callable[[float], None]
-    failed: Callable[[], None] = _unheard
-    restored: Callable[[], None] = _unheard
+    failed: Callable[[], None] = _ignore
+    restored: Callable[[], None] = _ignore
     proved: Callable[[StoreMoment], None] = lambda _: None
 
 
@@ -83,9 +81,9 @@
 class FollowTask:
     """Follows one table for as long as the process runs.
 
-    A change is told as soon as the store has it; between changes the store is asked
-    once every ``hold_ms``, and its empty answer is the proof that nothing changed.
-    ``timeout_ms`` bounds the time until a question that isn't held is answered.
+    The store responds as soon as it has a change; between changes it is queried once
+    every ``hold_ms``, and its empty response confirms that nothing changed.
+    ``timeout_ms`` bounds the time to the response to a query that isn't held.
     """
 
     reactor: Reactor
@@ -98,19 +96,19 @@
     store_clock: StoreClock
     feed: TableFeed
     restores: int = 0
-    _since: StoreMoment | None = None
-    _last: StoreMoment | None = None
+    _resume_position: StoreMoment | None = None
+    _applied_position: StoreMoment | None = None
     _stopped: bool = False
-    _failures: int = 0
-    _changes: int = 0
-    _relayed: bool = False
+    _failure_count: int = 0
+    _change_count: int = 0
+    _from_member: bool = False
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the task that queries the source."""
         spawn(self._run(), f"follow_{self._name}", self.reactor)
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Send no more queries; one that is open is still processed."""
         self._stopped = True
 
     @property
@@ -119,157 +117,166 @@
 
     async def _run(self) -> None:
         while not self._stopped:
-            failures, changes = self._failures, self._changes
-            await self._once_or_afresh()
-            if self._failures > failures:
+            failures, changes = self._failure_count, self._change_count
+            await self._query_or_reset()
+            if self._failure_count > failures:
                 await deferLater(self.reactor, self._pause_s())
-            elif self._changes > changes and not self._relayed:
-                # A member's changes were gathered before it told them.
+            elif self._change_count > changes and not self._from_member:
+                # A member gathers changes before it sends them.
                 await deferLater(self.reactor, self.followed.gathering_ms / 1000)
 
-    async def _once_or_afresh(self) -> None:
-        """A fault of this program must not end the following for good.
+    async def _query_or_reset(self) -> None:
+        """Query once; after an unexpected exception, read the whole table again.
 
-        A row that raised in here once left the instance ready, and blind to every later
-        change. What was read is in doubt then, so all of it is read again.
+        Otherwise a bug would end the task: the instance would stay ready without
+        ever receiving another change. `InvariantBroken` is raised on.
         """
         try:
-            await self._once()
+            await self._query()
         except InvariantBroken:
             raise
         except Exception as failure:
             error = "".join(format_exception(failure))
             log_event("follow_failed", logging.ERROR, table=self._name, error=error)
-            self._since = None
-            self._failures += 1
+            self._resume_position = None
+            self._failure_count += 1
 
-    async def _once(self) -> None:
+    async def _query(self) -> None:
         question = StoreQuestion(self.clock.now_ms(), self._hold_ms())
-        outcome = await self._ask(question.held_ms)
+        outcome = await self._send_query(question.held_ms)
         match outcome:
             case Reading():
-                reading = self._of_this_era(outcome)
+                reading = self._checked_reading(outcome)
                 if reading is not None:
-                    self._take(reading, reading.question or question)
+                    self._process(reading, reading.question or question)
             case HistoryGone():
-                log_event("history_gone", table=self._name, since=self._since)
-                self._since = None
+                log_event("history_gone", table=self._name, since=self._resume_position)
+                self._resume_position = None
             case SourceFailed():
-                self._lost(outcome.reason)
-
-    def _of_this_era(self, reading: Reading) -> Reading | None:
-        """The reading, if it counts; one that doesn't changes nothing."""
-        if self._last is None or reading.moment.era == self._last.era:
-            return reading if self._goes_on(reading) else None
-        era, known = reading.moment.era, self._last.era
-        if era < known:
+                self._source_failed(outcome.reason)
+
+    def _checked_reading(self, reading: Reading) -> Reading | None:
+        """The snapshot or update if it may be applied, or None; handles a new era."""
+        if (
+            self._applied_position is None
+            or reading.moment.era == self._applied_position.era
+        ):
+            return reading if self._is_in_order(reading) else None
+        era, last_era = reading.moment.era, self._applied_position.era
+        if era < last_era:
             log_event(
                 "store_era_fell",
                 logging.WARNING,
                 table=self._name,
                 moment=reading.moment,
-                era=known,
+                era=last_era,
             )
-            self._since = None
-            self._lost(f"era {era} after {known}")
+            self._resume_position = None
+            self._source_failed(f"era {era} after {last_era}")
             return None
         if not reading.whole:
-            # Its position is of the era before: what lies between isn't known.
-            self._since = None
+            # Updates since a position of the earlier era: some changes may be missing.
+            self._resume_position = None
             return None
         log_event(
             "store_restored",
             logging.WARNING,
             table=self._name,
-            before=self._last,
+            before=self._applied_position,
             moment=reading.moment,
         )
         self.restores += 1
         self.followed.restored()
         return evolve(reading, restored=True)
 
-    def _goes_on(self, reading: Reading) -> bool:
-        """Say whether a reading of this era goes on from the position asked for."""
-        if reading.whole or self._since is None or reading.moment >= self._since:
+    def _is_in_order(self, reading: Reading) -> bool:
+        """Whether a response of this era isn't behind the position that was sent."""
+        if (
+            reading.whole
+            or self._resume_position is None
+            or reading.moment >= self._resume_position
+        ):
             return True
         log_event(
             "store_version_fell",
             logging.WARNING,
             table=self._name,
-            since=self._since,
+            since=self._resume_position,
             moment=reading.moment,
         )
-        self._since = None
+        self._resume_position = None
         return False
 
     def _hold_ms(self) -> float:
-        """How long the store may hold the next question.
+        """How long the store may hold the next query.
 
-        A store that failed is asked for an answer at once: a question that it holds
-        would hang for the whole hold, and its return would be seen so much later.
+        Zero after a failure: a held query would delay the detection of the store's
+        return by the whole hold.
         """
-        if self._since is None or self._failures:
+        if self._resume_position is None or self._failure_count:
             return 0.0
         return self.source.hold_ms(self.followed.table, self.followed.hold_ms)
 
-    async def _ask(self, held_ms: float) -> Reading | HistoryGone | SourceFailed:
+    async def _send_query(self, held_ms: float) -> Reading | HistoryGone | SourceFailed:
         table = self.followed.table
-        if self._since is None:
+        if self._resume_position is None:
             return await self.source.read(table, self.timeout_ms)
         longest_ms = held_ms + _ANSWER_SLACK_MS
-        return await self.source.follow(table, self._since, held_ms, longest_ms)
+        return await self.source.follow(
+            table, self._resume_position, held_ms, longest_ms
+        )
 
-    def _take(self, reading: Reading, question: StoreQuestion) -> None:
+    def _process(self, reading: Reading, question: StoreQuestion) -> None:
         now_ms = self.clock.now_ms()
-        if self._failures:
-            self._came_back(now_ms)
-        self._relayed = reading.proven_ms is not None
-        moment_ms = self._proven_ms(reading, question, now_ms)
-        self._put_in_force(reading, moment_ms)
-        self._since = self._last = reading.moment
-        self.feed.took(reading, moment_ms)
-
-    def _put_in_force(self, reading: Reading, moment_ms: float) -> None:
-        """Take a reading, and count its proof.
-
-        The proof counts first, since what waits for the first reading is served as it
-        is taken. If taking it raises, what is known is still what was proven before.
+        if self._failure_count:
+            self._source_returned(now_ms)
+        self._from_member = reading.proven_ms is not None
+        confirmed_ms = self._confirmed_ms(reading, question, now_ms)
+        self._apply(reading, confirmed_ms)
+        self._resume_position = self._applied_position = reading.moment
+        self.feed.took(reading, confirmed_ms)
+
+    def _apply(self, reading: Reading, confirmed_ms: float) -> None:
+        """Apply a snapshot or update, and record its confirmation.
+
+        The confirmation is recorded first, since requests that wait for the first
+        snapshot are served while it is applied. It is withdrawn if that raises.
         """
         before_ms = self.freshness.proven_ms(self._name)
-        self.freshness.proved(self._name, moment_ms)
+        self.freshness.proved(self._name, confirmed_ms)
         try:
             if reading.entries or reading.whole:
-                self._changes += 1
+                self._change_count += 1
                 self.followed.take(reading)
             self.followed.proved(reading.moment)
         except Exception:
             self.freshness.withdrawn(self._name, before_ms)
             raise
 
-    def _proven_ms(
+    def _confirmed_ms(
         self, reading: Reading, question: StoreQuestion, now_ms: float
     ) -> float:
-        """The moment that a reading proves."""
+        """The local time as of which a response confirms the table."""
         if reading.proven_ms is not None:
             return reading.proven_ms
         held_ms = 0.0 if reading.entries else question.held_ms
-        moment_ms = proven_moment_ms(question.sent_ms, now_ms, held_ms)
+        confirmed_ms = proven_moment_ms(question.sent_ms, now_ms, held_ms)
         clock, era = self.store_clock, reading.moment.era
         earliest_ms = clock.earliest_ms(era, reading.store_ms, question.sent_ms)
         latest_ms = clock.latest_ms(era, reading.store_ms, now_ms)
-        # A hold may have ended early, and its answer come late.
-        return min(moment_ms, earliest_ms, latest_ms)
+        # A hold may have ended early, and its response arrived late.
+        return min(confirmed_ms, earliest_ms, latest_ms)
 
-    def _came_back(self, now_ms: float) -> None:
-        log_event("store_back", table=self._name, failures=self._failures)
-        self._failures = 0
+    def _source_returned(self, now_ms: float) -> None:
+        log_event("store_back", table=self._name, failures=self._failure_count)
+        self._failure_count = 0
         self.followed.came_back(self.freshness.age_ms(self._name, now_ms))
 
-    def _lost(self, reason: str) -> None:
-        self._failures += 1
+    def _source_failed(self, reason: str) -> None:
+        self._failure_count += 1
         self.feed.failed()
         self.followed.failed()
-        if self._failures == 1:
+        if self._failure_count == 1:
             age_ms = self.freshness.age_ms(self._name, self.clock.now_ms())
             log_event(
                 "store_lost",
@@ -279,6 +286,8 @@
             )
 
     def _pause_s(self) -> float:
-        doubled_ms = _FIRST_PAUSE_MS * 2.0 ** min(self._failures - 1, _MAX_DOUBLINGS)
-        share = 0.5 + self.random.random() / 2
-        return float(min(doubled_ms, _LONGEST_PAUSE_MS) * share / 1000)
+        doubled_ms = _FIRST_PAUSE_MS * 2.0 ** min(
+            self._failure_count - 1, _MAX_DOUBLINGS
+        )
+        jitter = 0.5 + self.random.random() / 2
+        return float(min(doubled_ms, _LONGEST_PAUSE_MS) * jitter / 1000)
--- a/src/coursekeel/gateway/site/_known_site.py
+++ b/src/coursekeel/gateway/site/_known_site.py
@@ -1,13 +1,13 @@
-"""What an instance knows of its site: routes and keys, endpoints, and how fresh.
+"""The cached state of the site: routes and keys, endpoints, and their freshness.
 
-Which of a pool's endpoints may serve during a roll-out, `Rollouts` says.
+`Rollouts` decides which of a pool's endpoints may serve during a roll-out.
 
-Owns the route table, the directory of endpoints and the moments at which the store last
-proved them. Each reading is in force when the method that takes it returns. Relies on
-`FollowTask` for the readings, and tells routing of every change of the endpoints.
+Owns the route table, the directory of endpoints and the times at which the store last
+confirmed them. A snapshot or update is in force when the method that applies it
+returns. Relies on `FollowTask` for these, and updates routing after every change of the
+endpoints.
 
-Nothing that can't be read takes anything away: an entry that is unreadable is logged,
-and what was known of it before stays.
+An unreadable entry is logged and removes nothing: its previous state stays.
 """
 
 import logging
@@ -45,77 +45,76 @@
 
 __all__ = ["KnownSite"]
 
-# A list that is followed names a new endpoint within two heartbeats of 1.2 s (the usual
-# ones) and the time its changes gather. Twice that.
-_LISTED_WITHIN_S = 6.0
+# Time for a new endpoint to appear in the list: twice the sum of two usual heartbeats
+# of 1.2 s and the time that changes gather.
+_LISTING_TIME_S = 6.0
 
 
-def _never() -> bool:
+def _return_false() -> bool:
     return False
 
 
 @define(eq=False)
 class KnownSite:
-    """The routes, keys and endpoints that are in force here."""
+    """The routes, keys and endpoints that are in force on this instance."""
 
     reactor: Reactor
     clock: Clock
     settings: LiveSettings
     directory: EndpointDirectory
     routing: RoutingTask
-    away_for_all: Callable[[], bool] = _never
+    store_is_away_for_group: Callable[[], bool] = _return_false
     freshness: Freshness = field(factory=Freshness)
     hold: StartHold = field(factory=StartHold)
     rollouts: Rollouts = field(factory=Rollouts.none)
     ordered: Callable[[], None] = lambda: None
     routes: RouteTable | None = None
     endpoints_read: bool = False
-    _settling: Any = None
+    _settle_timer: Any = None
     _tried_pools: dict[str, str] = field(factory=dict)
 
     # Routes and keys.
 
     @property
     def routes_age_ms(self) -> float:
-        """How old the last proof of routes and keys is; infinite if there is none."""
+        """Age of the last confirmation of routes and keys; infinite without one."""
         return self.freshness.age_ms(Table.CONFIGURATION.value, self.clock.now_ms())
 
     def belief(self) -> Belief:
-        """What routes and keys are taken from now."""
+        """Version and age of the configuration in force."""
         if self.routes is None:
             return Belief()
         return Belief(self.routes.configuration.version, self.routes_age_ms)
 
     @property
     def limits(self) -> RequestLimits:
-        """The bounds on callers' requests that are in force."""
+        """The limits on callers' requests that are in force."""
         return self.routes.configuration.limits if self.routes else RequestLimits()
 
     @property
     def ready(self) -> bool:
-        """Say whether enough is known, and freshly enough, to serve keyed requests."""
-        known = self.routes is not None and self.endpoints_read
-        return known and self.routes_age_ms <= self.max_key_age_ms
+        """Whether the cached state is complete and recent enough for keyed requests."""
+        is_complete = self.routes is not None and self.endpoints_read
+        return is_complete and self.routes_age_ms <= self.max_key_age_ms
 
     @property
     def max_key_age_ms(self) -> float:
-        """The greatest age of what is known of keys at which one is acted on now.
+        """The age of the keys' confirmation up to which requests are served.
 
-        Where keys need not end at once, nothing binds while the store is away for all:
-        then what is known is served on until it returns.
+        Infinite while the store is unreachable for the whole group, unless
+        ``strict_revoke`` is set: then the cached keys stay valid until it returns.
         """
         timers = self.settings.timers
-        if not timers.strict_revoke and self.away_for_all():
+        if not timers.strict_revoke and self.store_is_away_for_group():
             return math.inf
         return timers.max_key_age_ms
 
     def may_still_send(self, call: AdmittedRequest, begun: bool = False) -> bool:
-        """Say whether a request's key may be acted on now.
+        """Whether a request's key is still valid; called before every send.
 
-        Asked again before every send: a process that was frozen since admission would
-        act on keys that may long have been taken away. A request whose answer has
-        ``begun`` was asked for while its key was surely valid, and the bound on keys
-        counts from then: it goes on, as it would have if its endpoint hadn't failed.
+        A process may have been frozen since admission, and the key revoked meanwhile.
+        A request whose answer has ``begun`` goes on, since its key was valid when it
+        was sent, as it would have if its endpoint hadn't failed.
         """
         if call.route.anonymous or call.team is None or begun:
             return True
@@ -123,28 +122,32 @@
             return False
         assert self.routes is not None
         team = self.routes.team(call.caller.key)
-        # Endpoints are told the team's name, which must hold the key now.
+        # The team's name is sent to the endpoint, so that team must hold the key now.
         return team is not None and team.name == call.team.name
 
     def take_configuration(self, reading: Reading) -> None:
-        """Take a configuration and orders; what isn't newer is passed over."""
+        """Apply a configuration and roll-out orders; those not newer are ignored."""
         if reading.whole and not reading.restored:
-            # An order that a copy lacks is written again.
+            # After a restore a missing order isn't withdrawn: it is written again.
             self.rollouts.withdrawn(_pools_of_orders(reading))
-        for each in reading.entries:
-            match each.entry:
+        for versioned in reading.entries:
+            match versioned.entry:
                 case ForwardingConfiguration():
                     relayed = reading.proven_ms is not None
-                    self._put_in_force(each.entry, each.moment, relayed)
+                    self._apply_configuration(
+                        versioned.entry, versioned.moment, relayed
+                    )
                 case RolloutOrder():
-                    self._take_order(each.entry, each.moment)
-                case Removed() if pool := pool_of_order(each.entry.entry_id):
+                    self._apply_order(versioned.entry, versioned.moment)
+                case Removed() if pool := pool_of_order(versioned.entry.entry_id):
                     self.rollouts.withdrawn_one(pool)
-                    self.tell_routing()
+                    self.update_routing()
                 case UnreadableEntry():
-                    _log_unreadable(Table.CONFIGURATION, each.entry, each.moment)
+                    _log_unreadable(
+                        Table.CONFIGURATION, versioned.entry, versioned.moment
+                    )
 
-    def _take_order(self, order: RolloutOrder, moment: StoreMoment) -> None:
+    def _apply_order(self, order: RolloutOrder, moment: StoreMoment) -> None:
         begun = self.rollouts.ordered(order, moment, self.clock.now_ms())
         if begun is None:
             return
@@ -155,15 +158,15 @@
             within_ms=round(order.duration_ms),
             moment=moment,
         )
-        self.tell_routing()
+        self.update_routing()
         self.ordered()
 
     def orders_proved(self, moment: StoreMoment) -> None:
-        """All orders up to a moment are known."""
+        """Record that all roll-out orders up to a store position were read."""
         if self.rollouts.orders_read(moment):
-            self.tell_routing()
+            self.update_routing()
 
-    def _put_in_force(
+    def _apply_configuration(
         self,
         configuration: ForwardingConfiguration,
         moment: StoreMoment,
@@ -180,44 +183,44 @@
             moment=moment,
             source="member" if relayed else "store",
         )
-        self.tell_routing()
-        self._tell_hold()
+        self.update_routing()
+        self._release_held()
 
     # Endpoints.
 
     def take_endpoints(self, reading: Reading) -> None:
-        """Take the whole list of endpoints, or changes of it."""
+        """Apply the whole list of endpoints, or changes of it."""
         self.endpoints_read = True
         if reading.whole:
-            self._take_list(reading)
+            self._apply_list(reading)
         else:
-            for each in reading.entries:
-                self._take_change(each)
-        self.tell_routing()
-        self._tell_hold()
+            for versioned in reading.entries:
+                self._apply_change(versioned)
+        self.update_routing()
+        self._release_held()
 
-    def _tell_hold(self) -> None:
-        """What came before both tables were known can be served now."""
+    def _release_held(self) -> None:
+        """Release requests that arrived before both tables were read."""
         if self.routes is not None and self.endpoints_read:
             self.hold.known()
 
-    def _take_list(self, reading: Reading) -> None:
+    def _apply_list(self, reading: Reading) -> None:
         pairs: list[tuple[EndpointRecord, StoreMoment]] = []
         unreadable: list[str] = []
-        for each in reading.entries:
-            match each.entry:
+        for versioned in reading.entries:
+            match versioned.entry:
                 case EndpointRecord():
-                    pairs.append((each.entry, each.moment))
+                    pairs.append((versioned.entry, versioned.moment))
                 case UnreadableEntry():
-                    unreadable.append(each.entry.entry_id)
-                    _log_unreadable(Table.ENDPOINTS, each.entry, each.moment)
+                    unreadable.append(versioned.entry.entry_id)
+                    _log_unreadable(Table.ENDPOINTS, versioned.entry, versioned.moment)
         if reading.restored:
             self.directory.restore(pairs, kept=unreadable)
-            self._settle_later()
+            self._schedule_settling()
         else:
             self.directory.replace_all(pairs, kept=unreadable)
 
-    def _take_change(self, change: Versioned) -> None:
+    def _apply_change(self, change: Versioned) -> None:
         entry, moment = change.entry, change.moment
         match entry:
             case EndpointRecord():
@@ -231,37 +234,37 @@
                 _log_unreadable(Table.ENDPOINTS, entry, moment)
 
     def endpoints_back(self, lost_for_ms: float) -> None:
-        """The list is read again after an outage of the store of ``lost_for_ms``.
+        """Prepare for the first read of the list after an outage of ``lost_for_ms``.
 
-        Entries lapse while the store is away, and endpoints that live register again
+        Registrations expire while the store is down, and live endpoints register again
         within `endpoints_return_ms`; one that is missing after that is gone.
         """
         timers = self.settings.timers
         if lost_for_ms < timers.endpoints_lapse_ms:
             return
         self.directory.store_returned()
-        self._settle_later()
+        self._schedule_settling()
 
-    def _settle_later(self) -> None:
+    def _schedule_settling(self) -> None:
         timers = self.settings.timers
-        if self._settling is not None and self._settling.active():
-            self._settling.cancel()
-        self._settling = self.reactor.callLater(
-            timers.endpoints_return_ms / 1000, self._settled
+        if self._settle_timer is not None and self._settle_timer.active():
+            self._settle_timer.cancel()
+        self._settle_timer = self.reactor.callLater(
+            timers.endpoints_return_ms / 1000, self._finish_settling
         )
 
-    def _settled(self) -> None:
+    def _finish_settling(self) -> None:
         for endpoint_id in self.directory.settle():
             log_event("endpoint_gone", endpoint=endpoint_id, reason="not_back")
-        self.tell_routing()
+        self.update_routing()
 
     def endpoint_replaced(self, endpoint_id: str) -> None:
-        """Another incarnation answered at the endpoint's address: this one is over."""
+        """Mark an endpoint as replaced: another incarnation answers at its address."""
         self.directory.replaced(endpoint_id)
-        self.tell_routing()
+        self.update_routing()
 
     def adopt(self, endpoint_id: str, successor_id: str) -> EndpointRecord | None:
-        """Take the endpoint that has another's address now; None if it may not be."""
+        """Add an endpoint's successor at its address; None if it may not be used."""
         record = self.directory.adopt(endpoint_id, successor_id)
         if record is None or record.leaving:
             return None
@@ -269,27 +272,27 @@
             log_event("endpoint_adopted", endpoint=successor_id, after=endpoint_id)
             now_ms = self.clock.now_ms()
             self.reactor.callLater(
-                _LISTED_WITHIN_S, self._look_for_adopted, successor_id, now_ms
+                _LISTING_TIME_S, self._check_adopted, successor_id, now_ms
             )
-            self.tell_routing()
+            self.update_routing()
         return record
 
-    def _look_for_adopted(self, successor_id: str, adopted_ms: float) -> None:
-        """What the list had time to name and doesn't is gone; else look again."""
+    def _check_adopted(self, successor_id: str, adopted_ms: float) -> None:
+        """Drop an adopted endpoint that the list lacks; check again if too early."""
         if not self.directory.unlisted(successor_id):
             return
         proven_ms = self.freshness.proven_ms(Table.ENDPOINTS.value)
-        if proven_ms >= adopted_ms + _LISTED_WITHIN_S * MS_PER_SECOND:
+        if proven_ms >= adopted_ms + _LISTING_TIME_S * MS_PER_SECOND:
             log_event("endpoint_gone", endpoint=successor_id, reason="not_listed")
             self.directory.disown(successor_id)
-            self.tell_routing()
+            self.update_routing()
             return
         self.reactor.callLater(
-            _LISTED_WITHIN_S, self._look_for_adopted, successor_id, adopted_ms
+            _LISTING_TIME_S, self._check_adopted, successor_id, adopted_ms
         )
 
-    def tell_routing(self) -> None:
-        """Tell routing which endpoints may serve which pool now."""
+    def update_routing(self) -> None:
+        """Pass the endpoints of each pool, their zones and slots to routing."""
         directory, router = self.directory, self.routing.router
         pools = self.rollouts.split(directory.pools(), directory.known)
         router.endpoints.configure(pools, directory.zones(), directory.slots())
@@ -302,13 +305,13 @@
 
 
 def _pools_of_orders(reading: Reading) -> list[str]:
-    """The pools whose orders a reading names; one that can't be read stays."""
+    """The pools with a roll-out order in a snapshot, including unreadable orders."""
     pools = []
-    for each in reading.entries:
-        match each.entry:
+    for versioned in reading.entries:
+        match versioned.entry:
             case RolloutOrder():
-                pools.append(each.entry.pool)
-            case UnreadableEntry() if pool := pool_of_order(each.entry.entry_id):
+                pools.append(versioned.entry.pool)
+            case UnreadableEntry() if pool := pool_of_order(versioned.entry.entry_id):
                 pools.append(pool)
     return pools
 
--- a/tests/cover/test_rollout_fleet.py
+++ b/tests/cover/test_rollout_fleet.py
@@ -68,7 +68,7 @@
         swim.chosen = fleet.chosen
         swim.alive = lambda: fleet.members()
         swim.others = lambda: [each for each in fleet.members() if each != name]
-        self.site = Mock(tell_routing=self.split)
+        self.site = Mock(update_routing=self.split)
         router = Mock(load=lambda _: None)
         self.task = CanaryTask(
             fleet.reactor,
