--- a/tests/common/group_world.py
+++ b/tests/common/group_world.py
@@ -1,8 +1,8 @@
-"""Instances that share one store's table, on one clock, without sockets.
+"""Simulates instances that share one store's table, on one clock, without sockets.
 
 Each has its own `FollowTask`, `TableFeed`, `SharedSource` and `KnownSite`. The store
-may be away for some or answer them late, links between instances may be slow or cut,
-and an instance may freeze: whatever reaches it meanwhile comes when it wakes.
+may refuse some instances or respond to them late, instances may be partitioned from
+each other, and an instance may freeze: messages to it are delivered when it resumes.
 """
 
 from random import Random
@@ -60,13 +60,13 @@
         self.keys = frozenset({"k0", "k1", "k2", "k3"})
         self.revoked_ms: dict[str, float] = {}
         self.acknowledged_ms: dict[int, float] = {}
-        # How much later than others' the store's answers come to an instance.
-        self.late_ms: dict[str, float] = {}
-        self.away: set[str] = set()
-        self.refuses_at_once = False
-        self.cut: set[str] = set()
+        # Extra delay of the store's responses, by instance.
+        self.delay_ms: dict[str, float] = {}
+        self.refused: set[str] = set()
+        self.refuses_immediately = False
+        self.partitioned: set[str] = set()
         self.store_calls = 0
-        # How long the store's answers with rows take from their head to their end.
+        # Time from the head to the end of a store response that has rows.
         self.transfer_ms = 0.0
         self.waiting: list[tuple[str, int, Deferred]] = []
         self.instances: dict[str, Instance] = {}
@@ -88,26 +88,26 @@
         for _ in range(int(for_ms / STEP_MS)):
             self.reactor.advance(STEP_MS / 1000)
 
-    def later(self, wait_ms: float, then, *arguments) -> None:
+    def call_later(self, wait_ms: float, then, *arguments) -> None:
         self.reactor.callLater(wait_ms / 1000, then, *arguments)
 
     def change(self, revoked: str = "") -> None:
-        """A new version is acknowledged; it may take a key away."""
+        """Acknowledge a new version of the configuration, which may revoke a key."""
         self.version += 1
         self.acknowledged_ms[self.version] = self.now_ms
         if revoked in self.keys:
             self.keys -= {revoked}
             self.revoked_ms[revoked] = self.now_ms
         for waiter in list(self.waiting):
-            self._answer_waiter(waiter)
+            self._respond_to_waiter(waiter)
 
-    def _answer_waiter(self, waiter: tuple[str, int, Deferred]) -> None:
-        name, since, held = waiter
+    def _respond_to_waiter(self, waiter: tuple[str, int, Deferred]) -> None:
+        name, since, deferred = waiter
         if waiter not in self.waiting:
             return
         self.waiting.remove(waiter)
-        if name not in self.away:
-            self.store_answer(name, held, self.reading(since))
+        if name not in self.refused:
+            self.send_store_response(name, deferred, self.reading(since))
 
     def reading(self, since: int | None) -> Reading:
         teams = (Team("t", tuple(key_digest(each) for each in sorted(self.keys))),)
@@ -117,51 +117,52 @@
             entries = ()
         return Reading(entries, self.moment, self.now_ms, whole=since is None)
 
-    def store_answer(self, name: str, held: Deferred, value) -> None:
-        """The store makes an answer now, which may be late on its way."""
-        late_ms = self.late_ms.get(name, 0.0)
-        self.later(late_ms, self.answer, name, held, value)
+    def send_store_response(self, name: str, deferred: Deferred, value) -> None:
+        """Send a store response made now, with the instance's extra delay."""
+        delay_ms = self.delay_ms.get(name, 0.0)
+        self.call_later(delay_ms, self.send_response, name, deferred, value)
 
-    def start_anew(self, name: str) -> "Instance":
-        """An instance ends, and another begins in its place."""
+    def restart(self, name: str) -> "Instance":
+        """Replace an instance by a new process without state."""
         before = self.instances[name]
         before.task.stop()
-        again = self.instances[name] = Instance(self, name, before.zone)
-        again.task.start()
-        return again
+        restarted = self.instances[name] = Instance(self, name, before.zone)
+        restarted.task.start()
+        return restarted
 
-    def too_young_proofs(self) -> dict[str, float]:
-        """By how much, in ms, instances claim a later proof than they can have.
+    def overstated_confirmations(self) -> dict[str, float]:
+        """By how many ms instances claim a later confirmation than they can have.
 
-        Who doesn't know a version knows the table as of its acknowledgement at most.
+        An instance without a version can be up to date as of the time at which the
+        version was acknowledged, at the latest.
         """
-        found = {}
+        excess_ms = {}
         for name, each in self.instances.items():
             if each.site.routes is None:
                 continue
-            unknown = each.site.routes.configuration.version + 1
-            if unknown in self.acknowledged_ms:
+            next_version = each.site.routes.configuration.version + 1
+            if next_version in self.acknowledged_ms:
                 proven_ms = each.freshness.proven_ms(Table.CONFIGURATION.value)
-                found[name] = proven_ms - self.acknowledged_ms[unknown]
-        return {name: by_ms for name, by_ms in found.items() if by_ms > 0}
+                excess_ms[name] = proven_ms - self.acknowledged_ms[next_version]
+        return {name: by_ms for name, by_ms in excess_ms.items() if by_ms > 0}
 
-    def answer(self, name: str, held: Deferred, value) -> None:
-        """Bring an answer to an instance; a frozen one gets it when it wakes."""
+    def send_response(self, name: str, deferred: Deferred, value) -> None:
+        """Deliver a response to an instance; a frozen one gets it when it resumes."""
         wait_ms = self.random.uniform(0, 40)
         if isinstance(value, Reading) and value.entries:
-            self.later(wait_ms, setattr, held, "begun", True)
+            self.call_later(wait_ms, setattr, deferred, "begun", True)
             wait_ms += self.transfer_ms
-        self.later(wait_ms, self._arrive, name, held, value)
+        self.call_later(wait_ms, self._deliver, name, deferred, value)
 
-    def _arrive(self, name: str, held: Deferred, value) -> None:
+    def _deliver(self, name: str, deferred: Deferred, value) -> None:
         if name in self.instances and self.instances[name].frozen:
-            self.later(STEP_MS, self._arrive, name, held, value)
-        elif not held.called:
-            held.callback(value)
+            self.call_later(STEP_MS, self._deliver, name, deferred, value)
+        elif not deferred.called:
+            deferred.callback(value)
 
 
-class Alarm:
-    """A timer of an instance, which is put off while the instance is frozen."""
+class DelayableTimer:
+    """A timer of an instance, which is delayed while the instance is frozen."""
 
     def __init__(self) -> None:
         self.call = None
@@ -173,8 +174,8 @@
         return self.call.active()
 
 
-class FrozenClock:
-    """A reactor and clock of one instance, whose timers ring when it wakes."""
+class FreezableClock:
+    """The reactor and clock of one instance; due timers wait while it is frozen."""
 
     def __init__(self, world: World, instance: "Instance") -> None:
         self.world, self.instance = world, instance
@@ -183,115 +184,124 @@
         return self.world.now_ms
 
     def callLater(self, delay_s, then, *arguments, **named):
-        alarm, reactor = Alarm(), self.world.reactor
+        timer, reactor = DelayableTimer(), self.world.reactor
 
-        def ring():
+        def fire():
             if self.instance.frozen:
-                alarm.call = reactor.callLater(STEP_MS / 1000, ring)
+                timer.call = reactor.callLater(STEP_MS / 1000, fire)
             else:
                 then(*arguments, **named)
 
-        alarm.call = reactor.callLater(delay_s, ring)
-        return alarm
+        timer.call = reactor.callLater(delay_s, fire)
+        return timer
 
 
-class StoreOf(Source):
-    """The store as one instance reaches it."""
+class StoreClient(Source):
+    """One instance's connection to the store."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
 
     async def read(self, table, timeout_ms):
-        return await self._ask(None, 0.0, timeout_ms)
+        return await self._query(None, 0.0, timeout_ms)
 
     async def follow(self, table, version, hold_ms, timeout_ms):
-        return await self._ask(version, hold_ms, timeout_ms)
+        return await self._query(version, hold_ms, timeout_ms)
 
-    def _ask(self, since, hold_ms, timeout_ms):
-        world, held = self.world, Deferred()
+    def _query(self, since, hold_ms, timeout_ms):
+        world, deferred = self.world, Deferred()
         world.store_calls += 1
-        world.later(timeout_ms, self._too_late, held)
-        if self.name in world.away:
-            if world.refuses_at_once:
-                world.answer(self.name, held, SourceFailed("status 503"))
-            return held
+        world.call_later(timeout_ms, self._time_out, deferred)
+        if self.name in world.refused:
+            if world.refuses_immediately:
+                world.send_response(self.name, deferred, SourceFailed("status 503"))
+            return deferred
         if since is None or since < world.moment or not hold_ms:
-            world.store_answer(self.name, held, world.reading(since))
-            return held
-        waiter = (self.name, since, held)
+            world.send_store_response(self.name, deferred, world.reading(since))
+            return deferred
+        waiter = (self.name, since, deferred)
         world.waiting.append(waiter)
-        world.later(hold_ms, world._answer_waiter, waiter)
-        return held
+        world.call_later(hold_ms, world._respond_to_waiter, waiter)
+        return deferred
 
-    def _too_late(self, held: Deferred) -> None:
-        begun = getattr(held, "begun", False)
-        if not held.called and not begun:
-            self.world._arrive(self.name, held, SourceFailed("silent"))
+    def _time_out(self, deferred: Deferred) -> None:
+        begun = getattr(deferred, "begun", False)
+        if not deferred.called and not begun:
+            self.world._deliver(self.name, deferred, SourceFailed("silent"))
 
 
-class MembersOf(MemberReader):
-    """The other instances as one reaches them, through the form that is sent."""
+class MembersClient(MemberReader):
+    """One instance's connections to the others; responses are encoded and decoded."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
         self.told_age = 1.0
 
     async def request(self, address, table, since, wait_ms, timeout_ms):
-        world, held = self.world, Deferred()
-        world.later(timeout_ms, self._too_late, held)
-        world.later(
-            world.random.uniform(0, 60), self._reach, address, since, wait_ms, held
+        world, deferred = self.world, Deferred()
+        world.call_later(timeout_ms, self._time_out, deferred)
+        world.call_later(
+            world.random.uniform(0, 60),
+            self._deliver_request,
+            address,
+            since,
+            wait_ms,
+            deferred,
         )
-        return await held
+        return await deferred
 
     async def request_configuration_above(self, address, version, timeout_ms):
-        world, held = self.world, Deferred()
-        world.later(timeout_ms, self._too_late, held)
-        if (address in world.cut) == (self.name in world.cut):
+        world, deferred = self.world, Deferred()
+        world.call_later(timeout_ms, self._time_out, deferred)
+        if (address in world.partitioned) == (self.name in world.partitioned):
             feed = world.instances[address].feed
             feed.request_configuration_above(
-                version, lambda answer: self._told(held, answer)
+                version, lambda answer: self._respond(deferred, answer)
             )
-        return await held
+        return await deferred
 
-    def _reach(self, address, since, wait_ms, held) -> None:
+    def _deliver_request(self, address, since, wait_ms, deferred) -> None:
         world = self.world
-        if (address in world.cut) != (self.name in world.cut):
+        if (address in world.partitioned) != (self.name in world.partitioned):
             return
         other = world.instances[address]
         if other.frozen:
-            world.later(STEP_MS, self._reach, address, since, wait_ms, held)
+            world.call_later(
+                STEP_MS, self._deliver_request, address, since, wait_ms, deferred
+            )
             return
-        other.feed.request(since, wait_ms, lambda answer: self._told(held, answer))
+        other.feed.request(
+            since, wait_ms, lambda answer: self._respond(deferred, answer)
+        )
 
-    def _told(self, held: Deferred, answer) -> None:
+    def _respond(self, deferred: Deferred, answer) -> None:
         if isinstance(answer, RelayedReading):
-            told = decode_reading(encode_reading(answer))
-            assert told == answer
-            told = self.spoiled(told)
+            reply = decode_reading(encode_reading(answer))
+            assert reply == answer
+            reply = self.tampered(reply)
         else:
-            told = NothingNewer()
-        self.world.answer(self.name, held, told)
+            reply = NothingNewer()
+        self.world.send_response(self.name, deferred, reply)
 
-    def spoiled(self, told: RelayedReading) -> RelayedReading:
-        return told
+    def tampered(self, reply: RelayedReading) -> RelayedReading:
+        return reply
 
-    def _too_late(self, held: Deferred) -> None:
-        if not held.called:
-            self.world._arrive(self.name, held, MemberFailed("silent"))
+    def _time_out(self, deferred: Deferred) -> None:
+        if not deferred.called:
+            self.world._deliver(self.name, deferred, MemberFailed("silent"))
 
 
 class Instance:
-    """One instance of the group."""
+    """One simulated instance of the group."""
 
     def __init__(self, world: World, name: str, zone: str) -> None:
         self.world, self.name, self.zone = world, name, zone
         self.frozen = False
         self.applied: list[int] = []
-        clock = FrozenClock(world, self)
+        clock = FreezableClock(world, self)
         freshness = self.freshness = Freshness()
         self.feed = TableFeed(clock, clock)
-        self.members = MembersOf(world, name)
+        self.members = MembersClient(world, name)
         self.site = KnownSite(
             clock,
             clock,
@@ -301,9 +311,9 @@
             freshness=freshness,
         )
         self.source = SharedSource(
-            StoreOf(world, name),
+            StoreClient(world, name),
             self.members,
-            View(world, self),
+            MembershipView(world, self),
             clock,
             world.random,
             freshness,
@@ -343,16 +353,16 @@
     def age_ms(self) -> float:
         return self.freshness.age_ms("configuration", self.world.now_ms)
 
-    def acts_on(self, key: str) -> bool:
-        """Say whether a request with the key would be sent now."""
+    def accepts_key(self, key: str) -> bool:
+        """Whether a request with the key would be sent now."""
         if self.frozen or self.site.routes is None:
             return False
         fresh = self.age_ms <= self.site.max_key_age_ms
         return fresh and self.site.routes.team(key) is not None
 
 
-class View:
-    """Who is in the group, as one instance sees it: all that aren't parted from it."""
+class MembershipView:
+    """One instance's view of the group: all on its side of the partition."""
 
     def __init__(self, world: World, instance: Instance) -> None:
         self.world, self.instance, self.own = world, instance, instance.name
@@ -360,11 +370,11 @@
 
     def alive(self, zone=None):
         world = self.world
-        side = self.own in world.cut
+        side = self.own in world.partitioned
         return sorted(
             name
             for name, each in world.instances.items()
-            if (name in world.cut) == side and zone in (None, each.zone)
+            if (name in world.partitioned) == side and zone in (None, each.zone)
         )
 
     def zones(self):
--- a/tests/cover/test_follow_task.py
+++ b/tests/cover/test_follow_task.py
@@ -1,4 +1,4 @@
-"""How a table is asked for while the store answers and while it doesn't."""
+"""How `FollowTask` queries a table and confirms it, also while the store fails."""
 
 from random import Random
 from unittest.mock import Mock
@@ -16,26 +16,25 @@
 
 @define(eq=False)
 class ScriptedSource(Source):
-    """Keeps each question's hold; the test answers."""
+    """Records the hold of each query; the test resolves the responses."""
 
     holds: list[float] = field(factory=list)
     answers: list[Deferred] = field(factory=list)
 
     async def read(self, table, timeout_ms):
-        return await self.asked(0.0)
+        return await self.query(0.0)
 
     async def follow(self, table, version, hold_ms, timeout_ms):
-        return await self.asked(hold_ms)
+        return await self.query(hold_ms)
 
-    def asked(self, hold_ms):
+    def query(self, hold_ms):
         self.holds.append(hold_ms)
         self.answers.append(Deferred())
         return self.answers[-1]
 
 
-def test_a_store_that_failed_is_asked_for_an_answer_at_once():
-    """A question that it may hold would hang for the whole hold, and its return would
-    be seen so much later."""
+def test_a_store_that_failed_is_queried_without_a_hold():
+    """Guards against detecting the store's return only at the end of a hold."""
     reactor, source, clock = FakeReactor(), ScriptedSource(), Mock()
     clock.now_ms = lambda: reactor.seconds() * 1000
     table = FollowedTable(Table.ENDPOINTS, 4_000, 0, Mock(), Mock())
@@ -61,10 +60,10 @@
     assert source.holds == [0.0, 4_000, 0.0, 4_000]
 
 
-def followed_table(reactor, source, **told):
+def followed_table(reactor, source, **callbacks):
     clock = Mock(now_ms=lambda: reactor.seconds() * 1000)
     freshness = Freshness()
-    table = FollowedTable(Table.ENDPOINTS, 4_000, 0, Mock(), Mock(), **told)
+    table = FollowedTable(Table.ENDPOINTS, 4_000, 0, Mock(), Mock(), **callbacks)
     feed = TableFeed(reactor, clock)
     task = FollowTask(
         reactor, clock, Random(1), source, table, 1_000, freshness, StoreClock(), feed
@@ -73,40 +72,36 @@
     return task, table, freshness
 
 
-def test_after_a_restore_the_table_is_read_whole_before_anything_of_it_counts():
+def test_after_a_restore_nothing_is_applied_before_the_whole_table_is_read():
     reactor, source, restored = FakeReactor(), ScriptedSource(), Mock()
     task, table, _ = followed_table(reactor, source, restored=restored)
     source.answers[0].callback(Reading((), at(412), 0.0, whole=True))
     reactor.advance(0)
-    taken = table.take.call_count
+    applied = table.take.call_count
     source.answers[1].callback(Reading((), at(412, era=1), 0.0, whole=False))
-    assert table.take.call_count == taken, "412 of another era is another 412"
+    assert table.take.call_count == applied, "412 of another era is another 412"
     assert source.holds[2] == 0.0
     source.answers[2].callback(Reading((), at(400, era=1), 0.0, whole=True))
     assert restored.call_count == 1
-    assert table.take.call_count == taken + 1
+    assert table.take.call_count == applied + 1
     task.stop()
 
 
-def test_a_late_answer_of_the_era_before_proves_nothing():
+def test_a_late_response_of_the_previous_era_confirms_nothing():
     reactor, source = FakeReactor(), ScriptedSource()
     task, table, freshness = followed_table(reactor, source)
     source.answers[0].callback(Reading((), at(5, era=2), 0.0, whole=True))
-    proven_ms, taken = freshness.proven_ms("endpoints"), table.take.call_count
+    proven_ms, applied = freshness.proven_ms("endpoints"), table.take.call_count
     reactor.advance(1)
     source.answers[1].callback(Reading((), at(900, era=1), 0.0, whole=True))
     assert freshness.proven_ms("endpoints") == proven_ms
-    assert table.take.call_count == taken
+    assert table.take.call_count == applied
     task.stop()
 
 
-def test_a_reading_that_could_not_be_put_in_force_proves_nothing():
-    """Callers could be served with an ended key for good by an instance whose every
-    reading of the configuration raised as it was taken.
-
-    Cause: the proof counted before the reading was taken, and stood when that raised,
-    while what was known stayed as it was. Evidence: the age of the proof fell with each
-    such reading, and now it grows until one can be taken.
+def test_a_snapshot_that_could_not_be_applied_confirms_nothing():
+    """Guards against confirming the old state when applying a snapshot raises, so that
+    revoked keys would stay accepted.
     """
     reactor, source = FakeReactor(), ScriptedSource()
     task, table, freshness = followed_table(reactor, source)
@@ -129,28 +124,27 @@
     task.stop()
 
 
-def test_versions_that_fall_within_an_era_are_not_built_on():
-    """A store that was restored and names no era gives versions out again; what lies
-    below the position that it answers is known by a whole reading only."""
+def test_an_update_with_a_lower_version_in_the_same_era_is_not_applied():
+    """A store that was restored and has no eras reuses versions; only a whole snapshot
+    is then up to date."""
     reactor, source = FakeReactor(), ScriptedSource()
     task, table, freshness = followed_table(reactor, source)
     source.answers[0].callback(Reading((), at(100), 0.0, whole=True))
     reactor.advance(1)
-    taken, proven_ms = table.take.call_count, freshness.proven_ms("endpoints")
+    applied, proven_ms = table.take.call_count, freshness.proven_ms("endpoints")
     source.answers[1].callback(Reading((), at(55), 1_000.0, whole=False))
-    assert table.take.call_count == taken
+    assert table.take.call_count == applied
     assert freshness.proven_ms("endpoints") == proven_ms
     assert source.holds[2] == 0.0
     source.answers[2].callback(Reading((), at(55), 1_000.0, whole=True))
-    assert table.take.call_count == taken + 1
+    assert table.take.call_count == applied + 1
     assert freshness.proven_ms("endpoints") > proven_ms
     task.stop()
 
 
-def test_an_early_answer_that_came_late_proves_no_hold():
-    """The store ends a hold early, for a row that isn't followed here, and its answer
-    is late on its way, as all were before it. Its clock tells how much later than
-    another question this answer was made."""
+def test_an_early_response_that_arrived_late_confirms_no_hold():
+    """The store ends a hold early, for a row that isn't followed here, and its response
+    is late, as all were before. The store's clock shows when the response was made."""
     reactor, source = FakeReactor(), ScriptedSource()
     task, _, freshness = followed_table(reactor, source)
     reactor.advance(2)
@@ -165,12 +159,12 @@
     task.stop()
 
 
-def test_a_proof_of_before_the_machine_started_keeps_its_age():
-    """Where a member's proof is older than the machine has run, it is negative."""
-    reactor, told = FakeReactor(), []
+def test_a_confirmation_from_before_the_machine_started_keeps_its_age():
+    """A member's confirmation that is older than the machine's uptime is negative."""
+    reactor, answers = FakeReactor(), []
     clock = Mock(now_ms=lambda: reactor.seconds() * 1000)
     feed = TableFeed(reactor, clock)
     reactor.advance(1)
     feed.took(Reading((), at(5), 0.0, whole=True), -3_000.0)
-    feed.request(None, 0.0, told.append)
-    assert told[0].age_ms == 4_000.0
+    feed.request(None, 0.0, answers.append)
+    assert answers[0].age_ms == 4_000.0
--- a/tests/cover/test_freshness_machine.py
+++ b/tests/cover/test_freshness_machine.py
@@ -1,4 +1,4 @@
-"""What an instance believes of endpoints and keys, while the store comes and goes."""
+"""An instance's cached endpoints and keys, while the store fails and recovers."""
 
 from unittest.mock import Mock
 
@@ -34,11 +34,11 @@
 
 
 def _digests(keys: tuple[str, ...]) -> tuple[str, ...]:
-    return tuple(key_digest(each) for each in keys)
+    return tuple(key_digest(key) for key in keys)
 
 
 class FreshnessMachine(RuleBasedStateMachine):
-    """The store's rows change, history is lost, answers are late, the store is away."""
+    """Rows change, history is lost, responses are late, and the store is down."""
 
     @initialize()
     def begin(self) -> None:
@@ -50,9 +50,9 @@
         self.freshness = Freshness()
         self.version = 0
         self.rows: dict[str, Versioned] = {}
-        self.seen = 0
-        self.away = False
-        self.lost_for_ms = 0.0
+        self.read_version = 0
+        self.store_is_down = False
+        self.outage_ms = 0.0
         self.keys = frozenset(KEYS)
         self.revoked_ms: dict[str, float] = {}
         self.configuration = 0
@@ -72,60 +72,62 @@
 
     @rule(name=st.sampled_from(NAMES), leaving=st.booleans())
     def an_endpoint_writes_its_row(self, name: str, leaving: bool) -> None:
-        known = self.rows[name].entry
-        if isinstance(known, EndpointRecord) and known.leaving:
+        entry = self.rows[name].entry
+        if isinstance(entry, EndpointRecord) and entry.leaving:
             leaving = True
         self.write(record(name, leaving))
 
     @rule(name=st.sampled_from(NAMES))
-    def a_row_is_dropped(self, name: str) -> None:
+    def a_row_is_removed(self, name: str) -> None:
         self.write(Removed(name))
 
     @rule()
-    def the_store_goes_away(self) -> None:
-        self.away = True
+    def the_store_fails(self) -> None:
+        self.store_is_down = True
 
     @rule()
     def the_store_returns(self) -> None:
-        self.away = False
+        self.store_is_down = False
 
-    @rule(late_ms=st.integers(0, 300))
-    def follow(self, late_ms: int) -> None:
-        """One question for changes; its answer may be late."""
-        if self.away:
-            self.lost_for_ms += HOLD_MS
+    @rule(delay_ms=st.integers(0, 300))
+    def follow(self, delay_ms: int) -> None:
+        """One query for changes, whose response may be late."""
+        if self.store_is_down:
+            self.outage_ms += HOLD_MS
             self.reactor.advance(HOLD_MS / 1000)
             return
-        rows = [each for each in self.rows.values() if each.moment > at(self.seen)]
-        self.read(rows, whole=False, late_ms=late_ms)
+        rows = [row for row in self.rows.values() if row.moment > at(self.read_version)]
+        self.read(rows, whole=False, delay_ms=delay_ms)
 
-    @rule(late_ms=st.integers(0, 300))
-    def the_history_is_gone(self, late_ms: int) -> None:
-        if self.away:
+    @rule(delay_ms=st.integers(0, 300))
+    def the_history_is_truncated(self, delay_ms: int) -> None:
+        if self.store_is_down:
             return
-        kept = [e for e in self.rows.values() if isinstance(e.entry, EndpointRecord)]
-        self.read(kept, whole=True, late_ms=late_ms)
+        live_rows = [
+            e for e in self.rows.values() if isinstance(e.entry, EndpointRecord)
+        ]
+        self.read(live_rows, whole=True, delay_ms=delay_ms)
 
-    def read(self, rows: list[Versioned], whole: bool, late_ms: float) -> None:
+    def read(self, rows: list[Versioned], whole: bool, delay_ms: float) -> None:
         sent_ms, version = self.now_ms, self.version
-        self.reactor.advance(late_ms / 1000)
-        if self.lost_for_ms:
-            self.site.endpoints_back(self.lost_for_ms)
-            self.lost_for_ms = 0.0
+        self.reactor.advance(delay_ms / 1000)
+        if self.outage_ms:
+            self.site.endpoints_back(self.outage_ms)
+            self.outage_ms = 0.0
         self.freshness.proved("list", proven_moment_ms(sent_ms, self.now_ms, 0.0))
-        self.seen = version
+        self.read_version = version
         self.site.take_endpoints(Reading(tuple(rows), at(version), self.now_ms, whole))
 
     @rule(key=st.sampled_from(KEYS))
-    def a_key_is_taken_away(self, key: str) -> None:
+    def a_key_is_revoked(self, key: str) -> None:
         if key in self.keys:
             self.keys -= {key}
             self.revoked_ms[key] = self.now_ms
 
     @rule()
     def take_configuration(self) -> None:
-        """The configuration of this moment is read, and then an older one again."""
-        if self.away:
+        """The current configuration is read, and then an older one again."""
+        if self.store_is_down:
             return
         self.configuration += 1
         self.freshness.proved("keys", self.now_ms)
@@ -133,10 +135,10 @@
             (self.configuration, tuple(sorted(self.keys))),
             (self.configuration - 1, KEYS),
         ):
-            read = ForwardingConfiguration(
+            configuration = ForwardingConfiguration(
                 version=version, teams=(Team("t", _digests(keys)),), keyed=True
             )
-            entry = Versioned(read, at(version))
+            entry = Versioned(configuration, at(version))
             self.site.take_configuration(
                 Reading((entry,), at(version), self.now_ms, False)
             )
@@ -146,7 +148,7 @@
         self.reactor.advance(wait_ms / 1000)
 
     @invariant()
-    def a_key_is_never_acted_on_past_its_bound(self) -> None:
+    def a_revoked_key_is_never_accepted_past_its_bound(self) -> None:
         if self.freshness.age_ms("keys", self.now_ms) > TIMERS.max_key_age_ms:
             return
         for key, revoked_ms in self.revoked_ms.items():
@@ -154,17 +156,21 @@
                 assert self.now_ms - revoked_ms <= TIMERS.revoke_ms
 
     @invariant()
-    def what_was_read_as_leaving_takes_nothing(self) -> None:
+    def an_endpoint_read_as_leaving_takes_no_requests(self) -> None:
         for name, row in self.rows.items():
-            if row.moment > at(self.seen) or not isinstance(row.entry, EndpointRecord):
+            if row.moment > at(self.read_version) or not isinstance(
+                row.entry, EndpointRecord
+            ):
                 continue
-            taken = self.directory.may_take(name, self.now_ms)
-            assert taken is not row.entry.leaving
+            may_take = self.directory.may_take(name, self.now_ms)
+            assert may_take is not row.entry.leaving
 
     @invariant()
-    def what_was_read_as_gone_is_used_only_while_the_list_settles(self) -> None:
+    def an_endpoint_read_as_removed_is_used_only_while_the_list_settles(self) -> None:
         for name, row in self.rows.items():
-            gone = isinstance(row.entry, Removed) and row.moment <= at(self.seen)
+            gone = isinstance(row.entry, Removed) and row.moment <= at(
+                self.read_version
+            )
             if gone and self.directory.may_take(name, self.now_ms):
                 assert self.reactor.getDelayedCalls()
 
--- a/tests/cover/test_group_view.py
+++ b/tests/cover/test_group_view.py
@@ -1,4 +1,4 @@
-"""Whether the store is away for all, as one member of a group can tell."""
+"""Whether one member detects that the store is unreachable for its whole group."""
 
 from random import Random
 from unittest.mock import Mock
@@ -21,12 +21,12 @@
 
 @pytest.fixture
 def group():
-    """It has failed to get a proof for eight seconds, and has heard from two others."""
+    """A group whose last confirmation is 8 s old, with two other live members."""
     listen = GatewayListen("10.0.0.1:1", peers=OWN)
     settings = LiveSettings(GatewaySettings("g", "a", listen, "s:1"))
     clock, freshness = Mock(), Freshness()
     clock.now_ms = lambda: NOW_MS
-    made = Group(
+    group = Group(
         FakeReactor(),
         clock,
         settings,
@@ -39,38 +39,38 @@
         Mock(),
     )
     freshness.proved(TABLE.value, NOW_MS - 8_000)
-    made.feeds[TABLE].failing = True
+    group.feeds[TABLE].failing = True
     for address in (SECOND, THIRD):
-        hear(made, address)
-    return made
+        receive_from(group, address)
+    return group
 
 
-def hear(group: Group, address: str, **more) -> None:
+def receive_from(group: Group, address: str, **more) -> None:
     message = SwimMessage("s:1", MessageKind.ACK, address, "a", 0, **more)
     group.swim.received(message, NOW_MS)
 
 
-def test_it_is_away_for_all_if_nobody_has_a_newer_proof(group):
-    hear(group, SECOND, hints=(ProofHint(TABLE.value, SECOND, 1, 7_900.0),))
+def test_the_store_is_down_for_all_if_no_member_has_a_newer_confirmation(group):
+    receive_from(group, SECOND, hints=(ProofHint(TABLE.value, SECOND, 1, 7_900.0),))
     assert group.store_is_away_for_all()
 
 
-def test_it_is_not_if_another_has_a_newer_proof(group):
-    hear(group, SECOND, hints=(ProofHint(TABLE.value, SECOND, 1, 900.0),))
+def test_the_store_is_not_down_for_all_if_a_member_has_a_newer_confirmation(group):
+    receive_from(group, SECOND, hints=(ProofHint(TABLE.value, SECOND, 1, 900.0),))
     assert not group.store_is_away_for_all()
 
 
-def test_it_is_not_while_this_instance_gets_its_proofs(group):
+def test_the_store_is_not_down_for_all_while_this_instance_reads_it(group):
     group.feeds[TABLE].failing = False
     assert not group.store_is_away_for_all()
 
 
-def test_a_smaller_part_of_the_group_cannot_tell(group):
+def test_a_minority_of_the_group_does_not_report_the_store_down_for_all(group):
     gone = tuple(News(a, "a", 0, MemberState.GONE) for a in (SECOND, THIRD))
-    hear(group, "10.0.0.4:7", news=gone)
+    receive_from(group, "10.0.0.4:7", news=gone)
     assert not group.store_is_away_for_all()
 
 
-def test_one_that_hears_nobody_cannot_tell(group):
+def test_an_isolated_instance_does_not_report_the_store_down_for_all(group):
     group.clock.now_ms = lambda: NOW_MS + 3_000
     assert not group.store_is_away_for_all()
--- a/tests/cover/test_keys_at_the_send.py
+++ b/tests/cover/test_keys_at_the_send.py
@@ -1,4 +1,4 @@
-"""What is asked of a key before each send, while configurations change."""
+"""Validity of a key before each send, while configurations change."""
 
 from unittest.mock import Mock
 
@@ -24,56 +24,56 @@
 
 
 class Site:
-    """What one instance knows, at moments that the test gives."""
+    """The cached site of one instance, on a clock that the test sets."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
         clock = Mock(now_ms=lambda: self.now_ms)
-        self.known = KnownSite(
+        self.cached = KnownSite(
             Mock(), clock, LiveSettings(SETTINGS), EndpointDirectory(), Mock()
         )
         self.version = 0
 
     def configure(self, *teams: Team) -> None:
         self.version += 1
-        read = ForwardingConfiguration(self.version, teams=teams, keyed=True)
-        entry = Versioned(read, at(self.version))
-        self.known.freshness.proved("configuration", self.now_ms)
-        self.known.take_configuration(Reading((entry,), at(self.version), 0.0, False))
+        configuration = ForwardingConfiguration(self.version, teams=teams, keyed=True)
+        entry = Versioned(configuration, at(self.version))
+        self.cached.freshness.proved("configuration", self.now_ms)
+        self.cached.take_configuration(Reading((entry,), at(self.version), 0.0, False))
 
     def request(self) -> Mock:
-        """A request that was admitted by what is known now."""
+        """A request that was admitted with the current configuration."""
         route = Route("r", "h", "/", RouteKind.REPEATABLE, ())
-        call = Mock(route=route, team=self.known.routes.team(KEY))
+        call = Mock(route=route, team=self.cached.routes.team(KEY))
         call.caller.key = KEY
         return call
 
 
 def team(name: str, *keys: str) -> Team:
-    return Team(name, tuple(key_digest(each) for each in keys))
+    return Team(name, tuple(key_digest(key) for key in keys))
 
 
-def test_a_key_that_went_between_two_sends_is_not_sent_again():
+def test_a_key_that_was_revoked_between_two_sends_is_not_sent_again():
     site = Site()
     site.configure(team("a", KEY, "other"))
     call = site.request()
-    assert site.known.may_still_send(call)
+    assert site.cached.may_still_send(call)
     site.configure(team("a", "other"))
-    assert not site.known.may_still_send(call)
-    assert site.known.may_still_send(call, begun=True)
+    assert not site.cached.may_still_send(call)
+    assert site.cached.may_still_send(call, begun=True)
 
 
-def test_a_key_that_another_team_holds_by_now_is_not_sent_for_the_first():
-    """The endpoint would be told of a team that doesn't hold the key."""
+def test_a_key_that_moved_to_another_team_is_not_sent_for_the_first_team():
+    """Guards against sending the endpoint the name of a team without the key."""
     site = Site()
     site.configure(team("a", KEY), team("b"))
     call = site.request()
     site.configure(team("a"), team("b", KEY))
-    assert not site.known.may_still_send(call)
-    assert site.known.may_still_send(site.request())
+    assert not site.cached.may_still_send(call)
+    assert site.cached.may_still_send(site.request())
 
 
-def test_a_key_that_was_given_again_to_its_team_is_sent_by_its_new_proof():
+def test_a_key_that_was_restored_to_its_team_is_sent_by_the_new_confirmation():
     site = Site()
     site.configure(team("a", KEY))
     call = site.request()
@@ -81,13 +81,13 @@
     site.configure(team("a"))
     site.configure(team("a", "other", KEY))
     site.now_ms = 2 * MAX_AGE_MS - 2
-    assert site.known.may_still_send(call)
+    assert site.cached.may_still_send(call)
 
 
 @pytest.mark.parametrize("over_ms", [-1.0, 0.0, 1.0])
-def test_a_key_is_acted_on_up_to_its_bound_and_no_longer(over_ms):
+def test_a_key_is_accepted_up_to_its_age_limit_and_no_longer(over_ms):
     site = Site()
     site.configure(team("a", KEY))
     call = site.request()
     site.now_ms = MAX_AGE_MS + over_ms
-    assert site.known.may_still_send(call) is (over_ms <= 0)
+    assert site.cached.may_still_send(call) is (over_ms <= 0)
--- a/tests/cover/test_rollout_fleet.py
+++ b/tests/cover/test_rollout_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet rolls a version out together: bounds hold, whatever is lost or dies.
+"""A fleet's roll-out keeps its bounds while messages are lost and instances fail.
 
-Each instance is a `CanaryTask` on one simulated clock; datagrams are drawn to be lost,
-an instance freezes, the member that leads is killed, one starts midway, and the store
-may be away. Requests come to instances by lot.
+Each instance is a `CanaryTask` on one simulated clock; datagrams are lost at random, an
+instance freezes, the leading conductor is killed, one starts midway, and the store may
+be down. Requests are sent to random instances.
 """
 
 import math
@@ -34,19 +34,19 @@
 
 
 class StoreRecord(RolloutRecords):
-    """The one record, written under conditions."""
+    """The stored roll-out record, written by compare-and-set."""
 
     def __init__(self) -> None:
         self.record = RolloutRecord(None, "", at(0))
-        self.away = False
+        self.is_down = False
         self.states: list[RolloutState] = []
 
     async def read(self, pool, timeout_ms):
-        return RecordFailed("away") if self.away else self.record
+        return RecordFailed("store is down") if self.is_down else self.record
 
     async def write(self, order, state, before, timeout_ms):
-        if self.away:
-            return RecordFailed("away")
+        if self.is_down:
+            return RecordFailed("store is down")
         if before != self.record:
             return RecordConflict()
         moment = at(self.record.moment.version + 10)
@@ -56,7 +56,7 @@
 
 
 class Instance:
-    """One member, which may be frozen or dead."""
+    """One member, which may be frozen or killed."""
 
     def __init__(self, fleet: "Fleet", name: str) -> None:
         self.fleet, self.name = fleet, name
@@ -67,7 +67,7 @@
         swim = Mock(own=name, group="g")
         swim.chosen = fleet.chosen
         swim.alive = lambda: fleet.members()
-        swim.others = lambda: [each for each in fleet.members() if each != name]
+        swim.others = lambda: [member for member in fleet.members() if member != name]
         self.site = Mock(update_routing=self.split)
         router = Mock(load=lambda _: None)
         self.task = CanaryTask(
@@ -82,7 +82,7 @@
             fleet.period_ms,
             lambda to, data: fleet.send(name, to, data),
         )
-        # A frozen process's timers ring when it wakes.
+        # A frozen process runs no periodic work.
         tick = self.task._tick
         self.task._ticks.work = lambda: tick() if self.runs else _nothing()
 
@@ -103,20 +103,20 @@
         self.task.ordered()
 
     def serve(self, bad: bool) -> bool:
-        """Take one request; True if it went to the new version."""
+        """Serve one request; True if it went to the new version."""
         fleet, now_ms = self.fleet, self.fleet.now_ms
         pool = self.rollouts.pool_for(POOL, now_ms, True, lambda _: True)
         closing = self.rollouts.by_pool[POOL].phase in (Phase.CLOSING, Phase.COMPLETED)
         new = pool != POOL or closing
         endpoint = fleet.random.choice(NEW if new else OLD)
-        failed = fleet.random.random() < (fleet.fails if new and bad else 0.02)
+        failed = fleet.random.random() < (fleet.failure_share if new and bad else 0.02)
         self.rollouts.ended(POOL, "r", endpoint, failed, 100.0, now_ms)
         fleet.bad_ms += [now_ms] if new and bad and failed else []
         return new
 
 
 async def _nothing() -> None:
-    """A frozen process does nothing."""
+    """The tick of a frozen process."""
 
 
 OLD, NEW = ["a1", "a2", "a3"], ["b1", "b2", "b3"]
@@ -128,18 +128,22 @@
 
 
 class Fleet:
-    """All instances, and what reaches whom."""
+    """All instances, and the network between them."""
 
     def __init__(
         self,
         size: int,
         seed: int,
         duration_ms: float = 20_000,
-        fails: float = 1.0,
-        lost: float = 0.1,
+        failure_share: float = 1.0,
+        loss_share: float = 0.1,
     ) -> None:
         self.reactor, self.random = FakeReactor(), Random(seed)
-        self.duration_ms, self.fails, self.lost = duration_ms, fails, lost
+        self.duration_ms, self.failure_share, self.loss_share = (
+            duration_ms,
+            failure_share,
+            loss_share,
+        )
         self.store = StoreRecord()
         self.size = size
         self.requests = self.exposed = 0
@@ -163,18 +167,18 @@
     def send(self, sender: str, to: str, data: bytes) -> None:
         group, message = decode_rollout(data)
         assert (group, message.sender) == ("g", sender)
-        if self.random.random() >= self.lost:
+        if self.random.random() >= self.loss_share:
             wait_s = self.random.uniform(0, 0.04)
-            self.reactor.callLater(wait_s, self._arrive, to, message)
+            self.reactor.callLater(wait_s, self._deliver, to, message)
 
-    def _arrive(self, to: str, message) -> None:
+    def _deliver(self, to: str, message) -> None:
         other = self.instances.get(to)
         if other is None or not other.alive:
             return
         if other.awake:
             other.task.received(message)
         else:
-            self.reactor.callLater(STEP_MS / 1000, self._arrive, to, message)
+            self.reactor.callLater(STEP_MS / 1000, self._deliver, to, message)
 
     def order(self) -> None:
         for each in self.instances.values():
@@ -188,7 +192,7 @@
                 for each in self.instances.values()
                 if each.runs and POOL in each.rollouts.by_pool
             ]
-            for _ in range(_drawn(rate_s * STEP_MS / 1000, self.random)):
+            for _ in range(_random_count(rate_s * STEP_MS / 1000, self.random)):
                 self.requests += 1
                 if awake and self.random.choice(awake).serve(bad):
                     self.exposed += 1
@@ -202,7 +206,7 @@
         }
 
 
-def _drawn(mean: float, random: Random) -> int:
+def _random_count(mean: float, random: Random) -> int:
     return math.floor(mean) + (random.random() < mean % 1)
 
 
@@ -212,18 +216,20 @@
         assert fleet.exposed_ms[-1] <= fleet.bad_ms[49] + BOUNDS.rollback_ms
 
 
-@pytest.mark.parametrize("size, fails", [(3, 0.3), (3, 1.0), (73, 0.3), (380, 1.0)])
-def test_a_bad_version_is_taken_back_within_its_bounds(size, fails):
-    """Though a tenth of all datagrams is lost, one instance freezes, the member that
-    leads is killed, and one starts midway."""
-    fleet = Fleet(size, seed=size, fails=fails)
+@pytest.mark.parametrize(
+    "size, failure_share", [(3, 0.3), (3, 1.0), (73, 0.3), (380, 1.0)]
+)
+def test_a_bad_version_is_rolled_back_within_its_bounds(size, failure_share):
+    """A tenth of all datagrams is lost, one instance freezes, the leading conductor is
+    killed, and one instance starts midway."""
+    fleet = Fleet(size, seed=size, failure_share=failure_share)
     fleet.order()
     fleet.run(1_500, rate_s=100)
     fleet.instances["i1"].awake = False
     fleet.run(1_000, rate_s=100)
     fleet.instances["i0"].alive = False
-    newcomer = fleet.instances["i0b"] = Instance(fleet, "i0b")
-    newcomer.order(at(1))
+    started = fleet.instances["i0b"] = Instance(fleet, "i0b")
+    started.order(at(1))
     fleet.run(2_000, rate_s=100)
     fleet.instances["i1"].awake = True
     fleet.run(9_000 if size < 380 else 4_000, rate_s=100)
@@ -248,30 +254,30 @@
     assert fleet.store.states[-1] is RolloutState.COMPLETED
 
 
-def test_while_the_store_is_away_a_bad_version_is_taken_back_all_the_same():
+def test_a_bad_version_is_rolled_back_while_the_store_is_down():
     fleet = Fleet(9, seed=4)
     fleet.order()
     fleet.run(2_000, rate_s=50, bad=False)
-    fleet.store.away = True
+    fleet.store.is_down = True
     fleet.run(8_000, rate_s=50)
     assert fleet.phases() == {Phase.ROLLED_BACK}
     assert fleet.store.record.state is RolloutState.RUNNING
-    fleet.store.away = False
+    fleet.store.is_down = False
     fleet.run(2_000, rate_s=50)
     assert fleet.store.record.state is RolloutState.ROLLED_BACK
     assert_bounds(fleet)
 
 
-def test_while_no_record_can_be_read_nothing_goes_to_the_new_version():
-    """Its verdict may lie in the store already."""
+def test_the_new_version_gets_no_request_before_the_record_is_read():
+    """Guards against overriding a final state that the store may already hold."""
     fleet = Fleet(3, seed=4)
-    fleet.store.away = True
+    fleet.store.is_down = True
     fleet.order()
     fleet.run(6_000, rate_s=50)
     assert fleet.exposed == 0
 
 
-def test_instances_that_all_start_anew_obey_the_recorded_verdict():
+def test_instances_that_all_restart_apply_the_recorded_final_state():
     fleet = Fleet(5, seed=2)
     fleet.order()
     fleet.run(10_000, rate_s=100)
@@ -285,13 +291,13 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_halves_that_do_not_hear_each_other_end_in_one_state(seed):
-    """Two members conduct and lose most of what they are sent; the first final state
-    that is recorded stands for all."""
-    fleet = Fleet(4, seed=seed, duration_ms=8_000, fails=0.25, lost=0.6)
+def test_conductors_that_lose_most_messages_end_in_one_state(seed):
+    """Two members conduct and lose most messages; the first recorded final state
+    applies to all."""
+    fleet = Fleet(4, seed=seed, duration_ms=8_000, failure_share=0.25, loss_share=0.6)
     fleet.order()
     fleet.run(12_000, rate_s=60)
-    fleet.lost = 0.0
+    fleet.loss_share = 0.0
     fleet.run(6_000, rate_s=60)
     final = fleet.store.record.state
     assert final is not RolloutState.RUNNING
--- a/tests/cover/test_shared_source.py
+++ b/tests/cover/test_shared_source.py
@@ -1,4 +1,4 @@
-"""Instances learn from each other, and nobody acts on a proof that is too old."""
+"""Instances read tables from each other, and accept no key past its bound."""
 
 import math
 from types import MethodType
@@ -29,7 +29,7 @@
 ZONES = ["a", "a", "a", "b", "c"]
 
 
-def test_the_stores_calls_grow_with_the_zones_and_not_with_the_instances():
+def test_store_calls_grow_with_zones_and_not_with_instances():
     calls = {}
     for size in (3, 8):
         world = World(["a"] * size)
@@ -41,42 +41,42 @@
     assert calls[3] == calls[8]
 
 
-def test_a_change_is_in_force_everywhere_within_moments():
+def test_a_change_reaches_all_instances_within_half_a_second():
     world = World(ZONES)
     world.run(5_000)
     world.change("k1")
     world.run(500)
-    assert not any(each.acts_on("k1") for each in world.instances.values())
-    assert all(each.acts_on("k2") for each in world.instances.values())
+    assert not any(each.accepts_key("k1") for each in world.instances.values())
+    assert all(each.accepts_key("k2") for each in world.instances.values())
 
 
-def test_an_instance_that_the_store_turns_away_lives_on_its_neighbours():
+def test_an_instance_that_the_store_refuses_reads_from_members():
     world = World(ZONES)
     world.run(5_000)
-    world.away = {"i2", "i3", "i4"}
+    world.refused = {"i2", "i3", "i4"}
     world.run(15_000)
-    assert all(each.acts_on("k1") for each in world.instances.values())
+    assert all(each.accepts_key("k1") for each in world.instances.values())
     world.change("k1")
     world.run(3_000)
-    assert not any(each.acts_on("k1") for each in world.instances.values())
+    assert not any(each.accepts_key("k1") for each in world.instances.values())
 
 
-def test_members_do_not_take_each_others_word_for_the_stores():
-    """Seen on a played day: in an outage of the store each of two members called the
-    other's old proof good, and neither noticed the outage."""
+def test_members_do_not_confirm_each_other_while_the_store_is_down():
+    """Guards against members that accept each other's old confirmation and so never
+    detect an outage of the store."""
     world = World(ZONES)
     world.run(5_000)
-    world.away = set(world.instances)
+    world.refused = set(world.instances)
     world.run(6_000)
     assert all(each.feed.failing for each in world.instances.values())
-    assert not any(each.acts_on("k1") for each in world.instances.values())
-    world.away = set()
+    assert not any(each.accepts_key("k1") for each in world.instances.values())
+    world.refused = set()
     world.run(1_500)
-    assert all(each.acts_on("k1") for each in world.instances.values())
+    assert all(each.accepts_key("k1") for each in world.instances.values())
 
 
 @pytest.mark.parametrize("received_bytes", [0, 4_096])
-def test_an_answer_cut_on_its_way_is_told_apart_from_silence(received_bytes):
+def test_a_truncated_response_is_counted_apart_from_a_timeout(received_bytes):
     world = World(["a"])
     world.run(3_000)
     source = world.instances["i0"].source
@@ -88,23 +88,23 @@
     assert source.answers_cut == cut
 
 
-def test_while_the_store_is_away_few_ask_it():
+def test_few_instances_query_a_store_that_is_down():
     world = World(["a"] * 8)
     world.run(5_000)
-    world.away = set(world.instances)
+    world.refused = set(world.instances)
     world.run(4_000)
     world.store_calls = 0
     world.run(12_000)
-    alone = 12_000 / 900  # a question of 600 ms, and a pause of 150 to 600 ms
+    alone = 12_000 / 900  # a query of 600 ms, and a pause of 150 to 600 ms
     assert world.store_calls < alone + 8 * 12_000 / 1_500
 
 
-def test_whoever_the_store_turns_away_follows_its_neighbours_in_peace():
-    """It isn't failing while they have what it needs, and asks the store now and then
-    only."""
+def test_an_instance_that_the_store_refuses_follows_members_without_failing():
+    """It seldom reports a failure while members have newer confirmations, and seldom
+    queries the store."""
     world = World(["a", "b"])
     world.run(5_000)
-    world.away, world.refuses_at_once = {"i0"}, True
+    world.refused, world.refuses_immediately = {"i0"}, True
     world.run(3_000)
     world.store_calls, failing = 0, 0
     for _ in range(200):
@@ -112,145 +112,138 @@
         failing += world.instances["i0"].feed.failing
         assert world.instances["i0"].age_ms < 3_500
     assert failing < 200 / 2
-    # What i1 asks for both, and i0 between two looks at its neighbour.
+    # Queries of i1 for both, and of i0 between two requests to i1.
     assert world.store_calls < 10_000 / 600 + 10_000 / 500 + 5
 
 
 @pytest.mark.parametrize("phase_ms", range(0, 2_400, 150))
-def test_a_holder_that_goes_deaf_keeps_no_change_from_its_zone(phase_ms):
-    """Seen on a hunted day: the store fell silent for the one that asked it, while the
-    others could reach it, and a change was in force for them after more than 2 s."""
+def test_a_store_reader_without_the_store_does_not_delay_its_zone(phase_ms):
+    """Guards against a late change when only the store reader loses the store."""
     world = World(["a", "a", "a", "b"])
     world.run(5_000 + phase_ms)
-    world.away = {"i2"}
+    world.refused = {"i2"}
     world.run(50)
     world.change("k1")
     world.run(TIMERS.configuration_ms - 100)
-    assert not world.instances["i0"].acts_on("k1")
-    assert not world.instances["i1"].acts_on("k1")
+    assert not world.instances["i0"].accepts_key("k1")
+    assert not world.instances["i1"].accepts_key("k1")
 
 
-@pytest.mark.parametrize("trouble", ["deaf", "frozen", "two frozen", "none"])
+@pytest.mark.parametrize("fault", ["deaf", "frozen", "two frozen", "none"])
 @pytest.mark.parametrize("phase_ms", range(0, 2_400, 300))
-def test_the_bound_on_changes_holds_over_a_thin_link(trouble, phase_ms):
-    """A configuration that takes 0.66 s at 5 Mbit/s, where the bound is 3 s, in
-    proportion, and whoever asks for the zone in any trouble."""
+def test_the_bound_on_changes_holds_over_a_slow_link(fault, phase_ms):
+    """The transfer takes the share of the bound that 0.66 s are of 3 s, and the zone's
+    store reader may be unresponsive or without the store."""
     world = World(["a", "a", "a", "b"])
     world.transfer_ms = TIMERS.configuration_ms * 0.22
     world.run(5_000 + phase_ms)
-    silent = {"frozen": ["i2"], "two frozen": ["i2", "i3"]}.get(trouble, [])
+    silent = {"frozen": ["i2"], "two frozen": ["i2", "i3"]}.get(fault, [])
     for name in silent:
         world.instances[name].frozen = True
-    if trouble == "deaf":
-        world.away = {"i2"}
+    if fault == "deaf":
+        world.refused = {"i2"}
     world.run(50)
     world.change("k1")
     world.run(TIMERS.configuration_ms - 100)
-    assert not world.instances["i0"].acts_on("k1")
-    assert not world.instances["i1"].acts_on("k1")
+    assert not world.instances["i0"].accepts_key("k1")
+    assert not world.instances["i1"].accepts_key("k1")
 
 
-def test_a_holder_that_falls_silent_is_passed_over():
+def test_an_unresponsive_store_reader_is_bypassed():
     world = World(["a", "a", "a"])
     world.run(5_000)
     world.instances["i2"].frozen = True
     world.run(1_500)
     world.change("k1")
     world.run(1_500)
-    assert not world.instances["i0"].acts_on("k1")
+    assert not world.instances["i0"].accepts_key("k1")
     assert world.instances["i0"].age_ms < 2_600
 
 
 @pytest.mark.parametrize("phase_ms", range(0, 2_400, 300))
-def test_two_silent_members_leave_time_for_a_long_answer_of_the_store(phase_ms):
-    """The bound is a sum: a proof gets as old as in peace, one member's answer is
-    waited for in vain, the store is asked, and a third of the bound is left for its
-    answer to come over a thin link. Waiting for a second silent member took that."""
+def test_two_silent_members_leave_time_for_a_long_store_response(phase_ms):
+    """Guards against waiting for a second silent member: a third of the bound is left
+    for the store's response over a slow link."""
     world = World(["a", "a", "a", "b"])
     world.run(5_000 + phase_ms)
     for name in ("i2", "i3"):
         world.instances[name].frozen = True
     world.change("k1")
     world.run(TIMERS.configuration_ms * 2 / 3)
-    assert not world.instances["i0"].acts_on("k1")
-    assert not world.instances["i1"].acts_on("k1")
+    assert not world.instances["i0"].accepts_key("k1")
+    assert not world.instances["i1"].accepts_key("k1")
 
 
-def test_a_holder_that_starts_anew_in_an_outage_learns_from_its_zone():
-    """Seen: it asks for its zone by hashing, the store was away, and the freshest proof
-    that the others told of was its own earlier life's. So it asked nobody, and wasn't
-    ready for as long as the outage lasted."""
+def test_a_store_reader_that_restarts_in_an_outage_reads_from_members():
+    """Guards against an instance that queries no member, since the newest confirmation
+    in gossip is that of its own previous process, and so is never ready."""
     world = World(["a", "a", "a"])
     world.run(6_000)
-    world.away = set(world.instances)
+    world.refused = set(world.instances)
     world.run(1_000)
-    again = world.instances["i2"] = Instance(world, "i2", "a")
-    assert again.source.swim.holder("a") == "i2"
-    again.source.swim.freshest = lambda _table: ("", -math.inf)
-    again.task.start()
+    restarted = world.instances["i2"] = Instance(world, "i2", "a")
+    assert restarted.source.swim.holder("a") == "i2"
+    restarted.source.swim.freshest = lambda _table: ("", -math.inf)
+    restarted.task.start()
     world.run(2_500)
-    assert again.site.routes is not None
+    assert restarted.site.routes is not None
 
 
-def test_a_proof_whose_age_is_left_out_would_be_acted_on_for_too_long():
-    """What the age guards against, shown by leaving it out."""
+def test_ignoring_the_confirmation_age_would_exceed_the_revocation_bound():
+    """Shows what the age guards against by leaving it out of the responses."""
 
-    def broken(spoil: bool) -> bool:
+    def exceeds_bound(tamper: bool) -> bool:
         world = World(["a", "a", "a", "b"])
         for each in world.instances.values():
-            if spoil:
-                each.members.spoiled = MethodType(_ageless, each.members)
+            if tamper:
+                each.members.tampered = MethodType(_without_age, each.members)
         world.run(5_000)
-        world.away = set(world.instances)
+        world.refused = set(world.instances)
         world.change("k1")
         world.run(TIMERS.revoke_ms + 500)
-        return any(each.acts_on("k1") for each in world.instances.values())
+        return any(each.accepts_key("k1") for each in world.instances.values())
 
-    assert broken(spoil=True)
-    assert not broken(spoil=False)
+    assert exceeds_bound(tamper=True)
+    assert not exceeds_bound(tamper=False)
 
 
-@pytest.mark.parametrize("late_ms", [0, 400, 700, 1_000, 1_150])
-def test_a_proof_claims_no_time_for_which_the_store_held_nothing(late_ms):
-    """A key could be acted on for longer than its bound after an instance had asked a
-    member in vain.
+@pytest.mark.parametrize("delay_ms", [0, 400, 700, 1_000, 1_150])
+def test_a_confirmation_excludes_a_hold_that_the_store_did_not_make(delay_ms):
+    """Guards against computing a confirmation from the caller's query, with its hold,
+    and not from the query that the store got.
 
-    1. It asks the member, which is silent, and then the store, without a hold.
-    2. The store answers at once, that nothing changed; the answer comes late. All of
-       its answers have come late since the instance started, so that its clock doesn't
-       tell how late this one is.
-    3. A change is made meanwhile.
-
-    Cause: the proof was worked out from the question that whoever follows the table had
-    asked, with its hold, and not from the one that the store got. Evidence: proofs were
-    0.8 s younger than they may be, and none is with the store's own question.
+    After a member's timeout the store is queried without a hold. Its empty response is
+    late, as all have been since the instance started, so that the store's clock doesn't
+    show the delay. A change is made meanwhile.
     """
-    too_young = [
+    overstated = [
         (changed_ms, by_ms)
         for changed_ms in range(0, 2_600, 100)
-        for by_ms in _claimed_past_a_change(late_ms, changed_ms)
+        for by_ms in _overstated_after_change(delay_ms, changed_ms)
     ]
-    assert too_young == []
+    assert overstated == []
 
 
-def _claimed_past_a_change(late_ms: float, changed_ms: float) -> list[float]:
+def _overstated_after_change(delay_ms: float, changed_ms: float) -> list[float]:
     world = World(["a", "a", "a"])
     world.run(5_000)
-    world.late_ms["i0"] = late_ms
-    world.start_anew("i0")
+    world.delay_ms["i0"] = delay_ms
+    world.restart("i0")
     world.run(3_000)
     world.instances["i2"].frozen = True
     world.run(changed_ms)
     world.change()
-    claimed = []
+    overstated_ms = []
     for _ in range(50):
         world.run(STEP_MS)
-        claimed += [ms for name, ms in world.too_young_proofs().items() if name == "i0"]
-    return claimed[:1]
+        overstated_ms += [
+            ms for name, ms in world.overstated_confirmations().items() if name == "i0"
+        ]
+    return overstated_ms[:1]
 
 
-def _ageless(_self, told: RelayedReading) -> RelayedReading:
-    return evolve(told, age_ms=0.0, failing=False)
+def _without_age(_self, reply: RelayedReading) -> RelayedReading:
+    return evolve(reply, age_ms=0.0, failing=False)
 
 
 @pytest.mark.parametrize(
@@ -265,13 +258,13 @@
         b'"entries":[]}',
     ],
 )
-def test_an_answer_that_cannot_be_read_says_why(body):
-    read = decode_reading(body)
-    assert isinstance(read, UnreadableReading)
-    assert read.fault
+def test_an_unreadable_response_names_the_fault(body):
+    decoded = decode_reading(body)
+    assert isinstance(decoded, UnreadableReading)
+    assert decoded.fault
 
 
-def test_every_kind_of_entry_comes_through_as_it_was():
+def test_entries_survive_encoding_and_decoding():
     entries = (
         Versioned(Removed("e1"), at(5)),
         Versioned(UnreadableEntry("e2", "slots: got 'x', expected int"), at(6)),
@@ -281,7 +274,7 @@
 
 
 class GroupMachine(RuleBasedStateMachine):
-    """Keys go while the store, the links and the instances come and go."""
+    """Keys are revoked while the store, links and instances fail and recover."""
 
     @initialize(seed=st.integers(0, 1_000))
     def begin(self, seed: int) -> None:
@@ -292,41 +285,45 @@
     def the_configuration_changes(self, key: str) -> None:
         self.world.change(key)
 
-    @rule(away=st.sets(st.sampled_from(["i0", "i1", "i2", "i3", "i4"])))
-    def the_store_turns_some_away(self, away: set[str]) -> None:
-        self.world.away = away
+    @rule(refused=st.sets(st.sampled_from(["i0", "i1", "i2", "i3", "i4"])))
+    def the_store_refuses_some_instances(self, refused: set[str]) -> None:
+        self.world.refused = refused
 
-    @rule(cut=st.sets(st.sampled_from(["i0", "i1", "i2", "i3", "i4"]), max_size=2))
-    def some_are_parted_from_the_others(self, cut: set[str]) -> None:
-        self.world.cut = cut
+    @rule(
+        partitioned=st.sets(st.sampled_from(["i0", "i1", "i2", "i3", "i4"]), max_size=2)
+    )
+    def some_instances_are_partitioned(self, partitioned: set[str]) -> None:
+        self.world.partitioned = partitioned
 
     @rule(name=st.sampled_from(["i0", "i1", "i2", "i3", "i4"]))
-    def one_freezes_or_wakes(self, name: str) -> None:
+    def an_instance_freezes_or_resumes(self, name: str) -> None:
         instance = self.world.instances[name]
         instance.frozen = not instance.frozen
 
     @rule(name=st.sampled_from(["i0", "i1", "i2", "i3", "i4"]))
-    def one_starts_anew(self, name: str) -> None:
-        self.world.start_anew(name)
+    def an_instance_restarts(self, name: str) -> None:
+        self.world.restart(name)
 
     @rule(
         name=st.sampled_from(["i0", "i1", "i2", "i3", "i4"]),
-        late_ms=st.sampled_from([0, 300, 1_000, 2_200]),
+        delay_ms=st.sampled_from([0, 300, 1_000, 2_200]),
     )
-    def the_store_answers_one_late(self, name: str, late_ms: float) -> None:
-        self.world.late_ms[name] = late_ms
+    def the_store_responds_late_to_an_instance(
+        self, name: str, delay_ms: float
+    ) -> None:
+        self.world.delay_ms[name] = delay_ms
 
     @rule(for_ms=st.integers(50, 4_000))
     def time_passes(self, for_ms: int) -> None:
         for _ in range(for_ms // 50):
             self.world.run(50)
-            self.a_key_is_never_acted_on_past_its_bound()
-            assert self.world.too_young_proofs() == {}
+            self.a_revoked_key_is_never_accepted_past_its_bound()
+            assert self.world.overstated_confirmations() == {}
 
     @rule()
-    def whole_links_bring_all_up_to_date(self) -> None:
+    def healed_links_bring_all_instances_up_to_date(self) -> None:
         world = self.world
-        world.away, world.cut, world.late_ms = set(), set(), {}
+        world.refused, world.partitioned, world.delay_ms = set(), set(), {}
         for each in world.instances.values():
             each.frozen = False
         world.run(6_000)
@@ -335,11 +332,13 @@
             assert each.age_ms < 2_600
 
     @invariant()
-    def a_key_is_never_acted_on_past_its_bound(self) -> None:
+    def a_revoked_key_is_never_accepted_past_its_bound(self) -> None:
         world = self.world
         for key, revoked_ms in world.revoked_ms.items():
             if world.now_ms - revoked_ms > TIMERS.revoke_ms:
-                assert not any(each.acts_on(key) for each in world.instances.values())
+                assert not any(
+                    each.accepts_key(key) for each in world.instances.values()
+                )
 
     @invariant()
     def versions_never_go_back(self) -> None:
@@ -351,8 +350,8 @@
 TestGroup = GroupMachine.TestCase
 
 
-def test_a_restored_store_takes_no_key_back_to_life_nor_a_configuration_back():
-    """The copy is of before the revocation; its operator has not written again."""
+def test_a_restored_store_revives_no_revoked_key_and_no_old_configuration():
+    """The backup is older than the revocation; the operator has not written again."""
     world = World(ZONES)
     world.run(5_000)
     before = world.version
@@ -361,14 +360,14 @@
     world.keys, world.version, world.era = world.keys | {"k1"}, before, 1
     world.run(5_000)
     for each in world.instances.values():
-        assert not each.acts_on("k1")
-        assert each.acts_on("k2")
+        assert not each.accepts_key("k1")
+        assert each.accepts_key("k2")
         assert each.feed.configuration_version == before + 1
 
 
 @pytest.mark.parametrize("zones", [ZONES, ["a"] * 5, ["a", "a"]])
-def test_one_that_starts_after_a_restore_learns_what_the_copy_lacks(zones):
-    """Also one that is to ask for its zone, and so has nobody to ask for it."""
+def test_an_instance_started_after_a_restore_gets_what_the_backup_lacks(zones):
+    """Also if it is the store reader of its zone."""
     world = World(zones)
     world.run(5_000)
     before = world.version
@@ -377,73 +376,82 @@
     world.keys, world.version, world.era = world.keys | {"k1"}, before, 1
     world.run(3_000)
     last = f"i{len(zones) - 1}"
-    newcomer = world.instances[last] = Instance(world, last, zones[-1])
-    newcomer.task.start()
+    started = world.instances[last] = Instance(world, last, zones[-1])
+    started.task.start()
     world.run(2_000)
-    assert newcomer.acts_on("k2")
-    assert not newcomer.acts_on("k1")
+    assert started.accepts_key("k2")
+    assert not started.accepts_key("k1")
 
 
-def test_instances_of_two_eras_find_together():
-    """The store turns one away, which learns of the restore by its neighbours alone."""
+def test_instances_of_two_eras_converge():
+    """The store refuses one, which learns of the restore from members alone."""
     world = World(ZONES)
     world.run(5_000)
-    world.away = {"i4"}
+    world.refused = {"i4"}
     world.version, world.era = 3, 1
     world.run(6_000)
     world.change("k3")
     world.run(3_000)
-    assert world.instances["i4"].acts_on("k2")
-    assert not any(each.acts_on("k3") for each in world.instances.values())
+    assert world.instances["i4"].accepts_key("k2")
+    assert not any(each.accepts_key("k3") for each in world.instances.values())
 
 
-def _alone(world: World) -> None:
-    """An instance in a small zone asks the store for itself."""
+def _leave_undisturbed(world: World) -> None:
+    """Nothing is disturbed; instances in small zones query the store themselves."""
 
 
-def _started(world: World) -> None:
-    """All have just read the table whole."""
+def _restart_all(world: World) -> None:
+    """All instances have just read the whole table."""
     for name in list(world.instances):
-        world.start_anew(name)
+        world.restart(name)
     world.run(150)
 
 
-def _turned_away(world: World) -> None:
-    """All but one live on what members say."""
-    world.away = set(world.instances) - {"i3"}
+def _refuse_all_but_one(world: World) -> None:
+    """All instances but one read from members only."""
+    world.refused = set(world.instances) - {"i3"}
     world.run(3_000)
 
 
-def _restored(world: World) -> None:
+def _restore_store(world: World) -> None:
     world.era += 1
     world.run(1_500)
 
 
-def _late(world: World) -> None:
-    """The store's answers come late, and have since the instances started."""
-    world.late_ms = dict.fromkeys(world.instances, 700.0)
+def _delay_responses(world: World) -> None:
+    """The store's responses are late, and have been since the instances started."""
+    world.delay_ms = dict.fromkeys(world.instances, 700.0)
     for name in list(world.instances):
-        world.start_anew(name)
+        world.restart(name)
     world.run(4_000)
 
 
-@pytest.mark.parametrize("way", [_alone, _started, _turned_away, _restored, _late])
-@pytest.mark.parametrize("ends_ms", range(0, 1_800, 150))
-def test_the_bound_on_keys_is_the_age_at_which_proofs_are_given_up(way, ends_ms):
-    """However a proof came: nobody hears of anything any more right after a key has
-    ended, and the key is acted on for no longer than `max_key_age_ms`."""
+@pytest.mark.parametrize(
+    "disturb",
+    [
+        _leave_undisturbed,
+        _restart_all,
+        _refuse_all_but_one,
+        _restore_store,
+        _delay_responses,
+    ],
+)
+@pytest.mark.parametrize("after_ms", range(0, 1_800, 150))
+def test_a_revoked_key_is_accepted_up_to_the_confirmation_age_limit(disturb, after_ms):
+    """All connections are lost right after the revocation; the key is accepted for no
+    longer than `max_key_age_ms`, whatever the source of the last confirmation."""
     world = World(ZONES)
     world.run(5_000)
-    way(world)
-    world.run(ends_ms)
-    world.away, world.cut = set(world.instances), set(world.instances)
+    disturb(world)
+    world.run(after_ms)
+    world.refused, world.partitioned = set(world.instances), set(world.instances)
     for each in world.instances.values():
         each.members.request = AsyncMock(return_value=MemberFailed("cut"))
     world.change("k1")
-    acted_ms = [0.0]
+    accepted_ms = [0.0]
     while world.now_ms - world.revoked_ms["k1"] < TIMERS.revoke_ms:
         world.run(STEP_MS)
-        if any(each.acts_on("k1") for each in world.instances.values()):
-            acted_ms.append(world.now_ms - world.revoked_ms["k1"])
-    assert max(acted_ms) <= TIMERS.max_key_age_ms
-    assert max(acted_ms) >= TIMERS.max_key_age_ms - 2_700, "none is given up early"
+        if any(each.accepts_key("k1") for each in world.instances.values()):
+            accepted_ms.append(world.now_ms - world.revoked_ms["k1"])
+    assert max(accepted_ms) <= TIMERS.max_key_age_ms
+    assert max(accepted_ms) >= TIMERS.max_key_age_ms - 2_700, "none is given up early"
