--- a/src/coursekeel/gateway/_adapters.py
+++ b/src/coursekeel/gateway/_adapters.py
@@ -1,7 +1,7 @@
-"""What a gateway asks of the site it runs on: three interfaces, each an ABC.
+"""Interfaces that a site implements for its gateways: callers, endpoints, the store.
 
-Header names, row names and body forms belong to the site's adapters; what is done with
-what they say is decided in this package. Owns no state.
+Adapters of the site know header names, row names and body formats; this package decides
+what to do with the parsed values. Owns no state.
 """
 
 from abc import ABC, abstractmethod
@@ -45,10 +45,11 @@
 
 @frozen
 class CallerHeaders:
-    """What a caller's headers say; the rest of them is passed on as it came.
+    """The parsed headers of a caller's request; the others are forwarded unchanged.
 
-    ``resume_after`` is the number of the last event that the caller holds, None if it
-    asks from the start. ``prompt_key`` names the prompt, empty if none is named.
+    ``key`` is the API key. ``resume_after`` is the number of the last event that the
+    caller has received, None to start at the first. ``prompt_key`` identifies the
+    prompt in caches, empty if the caller named none.
     """
 
     request_id: str
@@ -61,24 +62,27 @@
 
 
 class CallerDialect(ABC):
-    """How callers say who they are and what they want."""
+    """Parses the headers of callers' requests.
+
+    ``readiness_path`` is the path at which the load balancer probes the instance.
+    """
 
     readiness_path: str
 
     @abstractmethod
     def read(self, headers: HeaderPairs) -> CallerHeaders:
-        """Read a request's headers, whose names are lower case."""
+        """Parse a request's headers; their names are lower case."""
 
 
 @frozen
 class OutboundRequest:
-    """What the gateway itself says to an endpoint beside the caller's request.
+    """What the gateway sends to an endpoint in addition to the caller's request.
 
     ``remaining_ms`` is the time left for the answer. ``resume_after`` is the number of
-    the last event that is held, None for an answer from its start. ``copy_to`` is the
-    address of an endpoint that shall keep a copy of the run; ``copy_from`` that of one
-    that keeps a copy of ``copied_run``. ``urgent`` marks a run that goes on after a
-    loss.
+    the last event received, None for an answer from its start. ``copy_to`` is the
+    address of the endpoint that is to keep a copy of the run; ``copy_from`` that of one
+    that has a copy of ``copied_run``. ``urgent`` marks a run that continues an answer
+    after a loss.
     """
 
     endpoint: EndpointRecord
@@ -93,12 +97,12 @@
 
 
 class HeadVerdict(Enum):
-    """What an answer's head says of the request.
+    """What the status and headers of an answer say about the request.
 
-    ``RAN``: it is the request's own answer. ``NOT_RUN``: the endpoint promises that the
+    ``RAN``: it is the answer to this request. ``NOT_RUN``: the endpoint states that the
     request hasn't run and never will. ``OTHER_INSTANCE``: another incarnation has the
-    endpoint's address, and ran nothing. ``FOREIGN``: it proves nothing about the
-    request, so that it may have run.
+    endpoint's address, and ran nothing. ``FOREIGN``: not certainly from the endpoint;
+    the request may have run.
     """
 
     RAN = "ran"
@@ -111,8 +115,8 @@
 class EndpointReport:
     """An endpoint's own report of its load.
 
-    ``unread_runs`` wait there or have their prompt read; ``runs`` are the ids of the
-    requests at work, ``models`` the names of the models that are served.
+    ``unread_runs`` is the number of requests that are queued or in prefill; ``runs``
+    are the ids of the running requests, ``models`` the names of the models served.
     """
 
     running: int
@@ -125,7 +129,7 @@
 
 @frozen
 class EndpointCall:
-    """A question of the gateway's own to an endpoint."""
+    """A request that the gateway sends to an endpoint on its own account."""
 
     method: bytes
     target: bytes
@@ -133,13 +137,16 @@
 
 @frozen
 class UnreadableReport:
-    """A report that can't be used; ``fault`` names the field and what was expected."""
+    """An invalid report; ``fault`` names the field and what was expected."""
 
     fault: str
 
 
 class EndpointDialect(ABC):
-    """How endpoints are spoken to."""
+    """The protocol of the site's endpoints.
+
+    ``report`` requests a load report, ``kept_prompts`` the list of cached prompts.
+    """
 
     report: EndpointCall
     kept_prompts: EndpointCall
@@ -148,33 +155,33 @@
     def headers(
         self, received: HeaderPairs, outbound: OutboundRequest
     ) -> list[tuple[bytes, bytes]]:
-        """The headers of a request, made from the caller's."""
+        """The headers to send, made from those received from the caller."""
 
     @abstractmethod
     def judge(self, head: ExchangeHead, request_id: str) -> HeadVerdict:
-        """What an answer's head says of the request."""
+        """What the status and headers of an answer say about the request."""
 
     @abstractmethod
     def incarnation_named(self, head: ExchangeHead) -> str:
-        """The id of the incarnation that gave the answer, empty if it isn't named."""
+        """The id of the incarnation that answered, empty if the headers lack it."""
 
     @abstractmethod
     def answer_headers(self, head: ExchangeHead) -> list[tuple[bytes, bytes]]:
-        """The headers that go back to the caller."""
+        """The answer's headers to send to the caller."""
 
     @abstractmethod
     def read_report(self, body: bytes) -> EndpointReport | UnreadableReport:
-        """Read a report."""
+        """Parse a load report."""
 
     @abstractmethod
     def read_kept(self, body: bytes) -> frozenset[str]:
-        """The names of the prompts that an endpoint keeps, none if it can't be read."""
+        """The keys of the prompts that an endpoint caches, none if unreadable."""
 
 
 class Table(Enum):
-    """What a gateway follows in the site's store.
+    """A table of the site's store that gateways follow.
 
-    The configuration's table holds the orders of roll-outs too.
+    The configuration table contains the rollout orders too.
     """
 
     CONFIGURATION = "configuration"
@@ -183,17 +190,17 @@
 
 @frozen
 class Removed:
-    """The entry of this id is gone."""
+    """The entry with this id was removed."""
 
     entry_id: str
 
 
 @frozen
 class UnreadableEntry:
-    """The entry of this id can't be used; what was known of it before stays.
+    """The entry with this id is invalid; its previous version stays in use.
 
-    ``fault`` names the field and what was expected. The id is empty where even that
-    can't be read.
+    ``fault`` names the field and what was expected. The id is empty if it can't be read
+    either.
     """
 
     entry_id: str
@@ -202,7 +209,7 @@
 
 @frozen
 class Versioned:
-    """An entry as of a moment of the store."""
+    """An entry, and the store position of its version."""
 
     entry: (
         ForwardingConfiguration
@@ -216,8 +223,8 @@
 
 @frozen
 class StoreQuestion:
-    """A question as the store got it: when it was sent, by this process's clock, and
-    how long the store was to hold it.
+    """A query to the store: when it was sent, on this process's clock, and how long
+    the store was to hold it.
     """
 
     sent_ms: float
@@ -226,12 +233,13 @@
 
 @frozen
 class Reading:
-    """What the store said: entries, the moment to go on from, and its own time.
+    """Entries read from a table, the position to follow from, and the store's time.
 
-    A ``whole`` reading names everything there is. One that a member of the group gave
-    has ``proven_ms``, the moment of this process's clock that it proves, and no time of
-    the store's. ``question`` is given by a source that may ask others before the store.
-    ``restored``: the first that is taken after the store came back from an older copy.
+    A ``whole`` reading is a snapshot of the table, any other an update. ``proven_ms``:
+    set in a reading from another member, instead of the store's time; the time on this
+    process's clock at which the store confirmed it. ``question``: the query to the
+    store, if the source queried other members first. ``restored``: the first reading
+    after the store was restored from an older copy.
     """
 
     entries: tuple[Versioned, ...]
@@ -245,48 +253,46 @@
 
 @frozen
 class HistoryGone:
-    """The store no longer has the changes since that moment: read it whole."""
+    """The store no longer has the changes since that position; read a snapshot."""
 
 
 @frozen
 class SourceFailed:
-    """The store gave no answer, or one that can't be used.
+    """The store didn't respond, or its response can't be used.
 
-    ``received_bytes`` of an answer that was given up had come.
+    ``received_bytes``: how much of an abandoned response was received.
     """
 
     reason: str
     received_bytes: int = 0
 
 
-# How an answer of the store may come once it has begun. A pause of a second is longer
-# than two segments lost in a row cost (RFC 6298's least time-out is a second before a
-# path is known, 200 ms on Linux after); 20 s carry 12 MB over 5 Mbit/s, 45,000 routes
-# at the 280 bytes that one takes in a row of the users' store. The bytes are a seventh
-# of the least memory of an instance of theirs.
+# Bounds on receiving a response of the store once it has begun. The pause allows two
+# TCP retransmissions in a row (RFC 6298; Linux uses 200 ms once a path's round-trip
+# time is known). 20 s are enough for 12 MB at 5 Mbit/s.
 STORE_TRANSFER = Transfer(pause_ms=1_000, most_ms=20_000, most_bytes=20 << 20)
 
 
 class Source(ABC):
-    """Where configuration and endpoints are read.
+    """Reads the tables of the configuration and of the endpoints.
 
-    ``timeout_ms`` bounds the time until an answer begins. How it may come from then on
-    is `STORE_TRANSFER`: a table may be larger than a link carries in any such limit.
+    ``timeout_ms`` bounds the time until a response begins; `STORE_TRANSFER` bounds the
+    rest, since a large table on a slow link takes longer than that.
     """
 
     def hold_ms(self, table: Table, usual_ms: float) -> float:
-        """How long a question after a table is best held now."""
+        """How long the store should hold a query now; ``usual_ms`` is the default."""
         return usual_ms
 
     @abstractmethod
     async def read(self, table: Table, timeout_ms: float) -> Reading | SourceFailed:
-        """Read a table whole."""
+        """Read a snapshot of a table."""
 
     @abstractmethod
     async def follow(
         self, table: Table, since: StoreMoment, hold_ms: float, timeout_ms: float
     ) -> Reading | HistoryGone | SourceFailed:
-        """Read what changed since a moment, held until something did.
+        """Read the changes after ``since``; held for ``hold_ms`` while there are none.
 
-        A reading of another era than ``since`` proves nothing of what came between.
+        If the reading's era isn't that of ``since``, changes in between may be missing.
         """
--- a/src/coursekeel/gateway/_caller_reply.py
+++ b/src/coursekeel/gateway/_caller_reply.py
@@ -1,6 +1,6 @@
 """The reply to one caller, over Twisted's HTTP server.
 
-Owns whether the head was sent and whether the reply has ended.
+Owns the state of the reply: whether its headers were sent and whether it has ended.
 """
 
 from collections.abc import Callable
@@ -18,10 +18,10 @@
 
 @define(eq=False)
 class CallerReply:
-    """Gives one reply; whatever comes after its end does nothing.
+    """Sends one reply; calls after its end have no effect.
 
-    Once the instance was told to stop, each reply asks its caller to close the
-    connection, so that the next request goes to another instance.
+    While the instance is stopping, each reply has `Connection: close`, so that the
+    caller's next request goes to another instance.
     """
 
     request: CallerRequest
@@ -34,11 +34,11 @@
         self.request.notifyFinish().addErrback(self._caller_left)
 
     def on_gone(self, told: Callable[[], None]) -> None:
-        """Call ``told`` if the caller leaves before the reply has ended."""
+        """Call ``told`` if the caller disconnects before the reply has ended."""
         self._on_gone.append(told)
 
     def head(self, status: int, headers: HeaderPairs) -> None:
-        """Send status and headers; without a length the body is chunked."""
+        """Send status and headers; without `Content-Length` the body is chunked."""
         if self.ended or self.head_sent:
             return
         self.head_sent = True
@@ -55,20 +55,20 @@
             self.request.write(data)
 
     def finish(self) -> None:
-        """The reply is whole."""
+        """End the reply after its complete body."""
         if not self.ended:
             self.ended = True
             self.request.finish()
 
     def whole(self, status: int, headers: HeaderPairs, body: bytes) -> None:
-        """Send a whole reply."""
+        """Send a complete reply."""
         length = str(len(body)).encode()
         self.head(status, [*headers, (b"content-length", length)])
         self.write(body)
         self.finish()
 
     def refuse(self, refusal: GatewayRefusal) -> None:
-        """Send a reply of the gateway's own."""
+        """Send the refusal as a complete reply."""
         headers = [(b"content-type", b"text/plain")]
         if refusal.retry_after_ms:
             after_s = f"{refusal.retry_after_ms / MS_PER_SECOND:.3f}"
@@ -76,7 +76,7 @@
         self.whole(refusal.status, headers, refusal.code.encode())
 
     def cut(self) -> None:
-        """End an answer that isn't whole so that it looks like one that isn't."""
+        """Close the connection, so that the caller sees an incomplete reply."""
         if not self.ended:
             self.ended = True
             self.request.channel.loseConnection()
--- a/src/coursekeel/gateway/_context.py
+++ b/src/coursekeel/gateway/_context.py
@@ -1,6 +1,6 @@
-"""What the tasks of one gateway share.
+"""The components that the tasks of one gateway share.
 
-Owns nothing itself: each part is the one owner of its state. `Gateway` makes it.
+Owns no state itself: each component owns its own. `Gateway` creates it.
 """
 
 from random import Random
@@ -26,7 +26,7 @@
 
 @define(eq=False)
 class GatewayContext:
-    """Clocks, state and sockets that a request's task needs."""
+    """Clock, state and clients that a request's task needs."""
 
     reactor: Reactor
     clock: Clock
--- a/src/coursekeel/gateway/_dispatcher.py
+++ b/src/coursekeel/gateway/_dispatcher.py
@@ -1,9 +1,9 @@
-"""Where requests arrive: admitted or refused, and given to the task that serves them.
+"""Admits or refuses each request, and starts the task that serves an admitted one.
 
-What comes before the first routes and endpoints are known waits (`StartHold`).
+Requests that arrive before routes and endpoints have been read wait in `StartHold`.
 
 Owns the count of open requests. Relies on `_admission` for the decision, and on
-`KnownSite` for what is known of routes and keys.
+`KnownSite` for the cached routes and keys.
 """
 
 from collections.abc import Callable
@@ -41,7 +41,10 @@
 
 @define(eq=False)
 class Dispatcher:
-    """Takes every caller's request of this instance."""
+    """Handles every caller's request to this instance.
+
+    ``alone_in_zone`` says whether no other member is known in this availability zone.
+    """
 
     context: GatewayContext
     reports: LoadReports
@@ -53,7 +56,7 @@
     open_requests: int = 0
 
     def take(self, request: CallerRequest) -> None:
-        """Take one whole request from the HTTP server."""
+        """Handle one completely received request; called by the HTTP server."""
         received = request.header_pairs()
         caller = self.callers.read(received)
         self.open_requests += 1
@@ -88,7 +91,7 @@
             if release.active():
                 release.cancel()
 
-        # A timer that rings after its request was resumed finds nothing.
+        # A timer that fires after its request was resumed has no effect.
         reply.on_gone(caller_left)
 
     def _serve(
@@ -157,7 +160,7 @@
         admitted: Admitted,
         arrived_ms: float,
     ) -> AdmittedRequest | None:
-        """The request with its pool; None if the configuration has no such pool."""
+        """The request with its pool, None if the configuration lacks that pool."""
         context, route = self.context, admitted.route
         routes = context.site.routes
         assert routes is not None
--- a/src/coursekeel/gateway/_gateway.py
+++ b/src/coursekeel/gateway/_gateway.py
@@ -1,8 +1,8 @@
-"""One gateway: every part, made and joined, started and stopped in order.
+"""The gateway role: builds its components, and starts and stops them in order.
 
-Owns the parts and the listening sockets. Parts are made so that each gets what it needs
-in its constructor, and none reaches back: settings, what is known of the site, sockets
-to endpoints, health, the dispatcher, the tasks that follow the store.
+Owns the components and the listening sockets. Each component gets its dependencies in
+its constructor, so the order is: settings, cached state of the site, connections to
+endpoints, health, the dispatcher, the tasks that follow the store.
 """
 
 from collections.abc import Callable
@@ -56,17 +56,16 @@
 
 __all__ = ["Gateway"]
 
-# Connections that the kernel holds until they are accepted. More than all instances'
-# callers open in the time that a busy process needs for a turn.
+# Connections that the kernel queues until they are accepted: more than callers open
+# during one iteration of a busy event loop.
 _BACKLOG = 512
 
-# How often a stopping instance looks whether it has served all. A small part of what is
-# left of the grace at its end.
+# Interval at which a stopping instance checks whether all requests have ended.
 _DRAIN_LOOK_S = 0.05
 
-# Routing's refusals tell callers to come back within these bounds, and a continuing
-# request waits so long for an endpoint outside failing zones. A site's callers have
-# seconds, not the minute of the product's own intents.
+# Bounds on `Retry-After` of routing's refusals, and how long a continuing request waits
+# before it may go to an endpoint that it excludes. Shorter than the defaults, since
+# callers of a site have timeouts of seconds.
 _ROUTER_SETTINGS = RouterSettings(
     retry_after_least_ms=50, retry_after_most_ms=1_000, avoid_ms=100
 )
@@ -74,9 +73,9 @@
 
 @define(eq=False)
 class Gateway(Role):
-    """The role that forwards. Every instance runs one, and all are the same.
+    """The role that forwards requests; every instance of a site runs one.
 
-    ``link`` is told of long answers by whatever asks for them, ``source`` included.
+    ``link`` must be the one that ``source`` reports its received bytes to.
     ``read_settings`` reads the settings file again; without it a reload does nothing.
     """
 
@@ -261,14 +260,14 @@
         return report_period_ms(members, self._live.now.canary.rollback_ms)
 
     def _store_restored(self) -> None:
-        """The store forgot what was written since its copy was made."""
+        """The store was restored from an older copy and lacks the latest writes."""
         self._rollouts.store_restored()
         self._keeper.store_restored(self._group.is_mine)
 
     # Starting.
 
     async def start(self) -> None:
-        """Open the sockets and begin to follow the store."""
+        """Open the sockets and start to follow the store."""
         listen = self.settings.listen
         server = caller_server(
             self._dispatcher.take, lambda: self._site.limits, self._connections
@@ -297,7 +296,7 @@
 
     @property
     def ready(self) -> bool:
-        """Say whether the balancer should give this instance new connections."""
+        """Whether the load balancer should send new connections to this instance."""
         return self._site.ready and not self.shutdown.begun
 
     def _readiness(self, path: str) -> StatusPage:
@@ -312,14 +311,14 @@
         return StatusPage(HTTPStatus.OK, content)
 
     def reload(self) -> None:
-        """Read the settings again; faults are logged, and the old ones stay."""
+        """Read the settings again; invalid ones are logged and ignored."""
         if self.read_settings is not None:
             self._live.reload(self.read_settings)
 
     # Stopping.
 
     async def stop(self) -> None:
-        """Finish what runs, within the grace that is given, and close."""
+        """Finish open requests within the grace period, then close."""
         if self.shutdown.begun:
             return
         dispatcher, grace_ms = self._dispatcher, self._live.timers.grace_ms
@@ -338,7 +337,7 @@
         log_event("gateway_stopped", open_requests=dispatcher.open_requests)
 
     def _must_wait(self, window: StopWindow) -> bool:
-        """Wait for what runs; callers' kept connections are closed meanwhile."""
+        """Whether to go on waiting; closes idle connections once no new ones come."""
         now_ms = self.clock.now_ms()
         if now_ms < window.settled_ms:
             return True
@@ -346,7 +345,7 @@
         return self._dispatcher.open_requests > 0 and now_ms < window.last_ms
 
     async def _close_connections(self, last_ms: float) -> None:
-        """Take no new ones, and wait until what was written to the others is sent."""
+        """Accept no more connections, and wait until all written data is sent."""
         self._listeners[0].stopListening()
         while len(self._connections) and self.clock.now_ms() < last_ms:
             self._connections.close_idle()
@@ -354,4 +353,4 @@
 
 
 def _needs_no_settling(_lost_for_ms: float) -> None:
-    """The configuration doesn't lapse while the store is away."""
+    """The configuration doesn't expire while the store is unreachable."""
--- a/src/coursekeel/gateway/_gauges.py
+++ b/src/coursekeel/gateway/_gauges.py
@@ -1,4 +1,4 @@
-"""What a gateway's metrics show of its parts at the moment of asking."""
+"""Gauges of a gateway: values read from its components when metrics are rendered."""
 
 from coursekeel.gateway._dispatcher import Dispatcher
 from coursekeel.gateway._metrics import GatewayMetrics
@@ -21,7 +21,7 @@
     dispatcher: Dispatcher,
     followed: FollowTask,
 ) -> None:
-    """Have each part looked at whenever the metrics are read."""
+    """Add the gauges; ``followed`` is the task that follows the configuration."""
     gauge = metrics.gauge
     gauge(
         "coursekeel_store_reads",
--- a/src/coursekeel/gateway/_http.py
+++ b/src/coursekeel/gateway/_http.py
@@ -1,6 +1,6 @@
-"""The HTTP servers of a gateway: callers, readiness, metrics.
+"""The HTTP servers of a gateway: callers, peers, readiness, metrics.
 
-Owns the open connections and the bounds on what is read from them. Relies on Twisted's
+Owns the open connections and the limits on what is read from them. Relies on Twisted's
 HTTP server for everything else.
 """
 
@@ -29,7 +29,10 @@
 
 
 class CallerRequest(BoundedBody, Request):
-    """A request whose path and body are not parsed: Twisted would read forms in it."""
+    """A request whose path and body Twisted doesn't parse for arguments and forms.
+
+    The limits are read at each body. ``take`` is called with each received request.
+    """
 
     limits: _Limits
     take: Callable[["CallerRequest"], None]
@@ -49,7 +52,7 @@
         type(self).take(self)
 
     def header_pairs(self) -> HeaderPairs:
-        """The headers as they came, their names in lower case."""
+        """The received headers, with names in lower case."""
         return [
             (name.lower(), value)
             for name, values in self.requestHeaders.getAllRawHeaders()
@@ -57,7 +60,7 @@
         ]
 
     def host_name(self) -> str:
-        """The host that was asked for, without a port."""
+        """The host of the `Host` header, without its port."""
         host = (self.getHeader(b"host") or b"").decode("latin-1")
         return host.rpartition(":")[0] or host
 
@@ -67,10 +70,10 @@
 
 
 class OpenConnections:
-    """The connections of a server, so that a stop loses nothing that was written.
+    """The open connections of a server.
 
-    A reply that has ended may still lie in this process's buffers, and a process that
-    ends takes it along.
+    Used at shutdown: the end of a finished reply may still be in this process's
+    buffers, and would be lost if the process exited.
     """
 
     def __init__(self) -> None:
@@ -80,22 +83,22 @@
         return len(self._channels)
 
     def opened(self, channel: "_CallerChannel") -> None:
-        """A connection was made."""
+        """Add a connection that was opened."""
         self._channels.add(channel)
 
     def closed(self, channel: "_CallerChannel") -> None:
-        """A connection is gone."""
+        """Remove a connection that was closed."""
         self._channels.discard(channel)
 
     def close_idle(self) -> None:
-        """Close those that wait for no reply, once what was written is sent."""
+        """Close connections without a request, once all written data is sent."""
         for channel in list(self._channels):
             if not channel.requests:
                 channel.loseConnection()
 
 
 class _CallerChannel(HTTPChannel):
-    """A connection whose headers are bounded by the limits in force when it opened."""
+    """A connection that limits the size of headers as configured when it opened."""
 
     limits: _Limits
     connections: OpenConnections
@@ -115,9 +118,9 @@
     limits: _Limits,
     connections: OpenConnections,
 ) -> Any:
-    """The callers' server: ``take`` gets each whole request.
+    """A server that calls ``take`` with each request once its body was received.
 
-    ``limits`` are asked for at each connection and body, since they change.
+    ``limits`` is called for each connection and body, since the limits can change.
     """
     kept = {"limits": staticmethod(limits), "take": staticmethod(take)}
     request = type("TakenRequest", (CallerRequest,), kept)
@@ -138,14 +141,14 @@
 
 @frozen
 class StatusPage:
-    """A short answer of the gateway's own."""
+    """A short response that the gateway itself makes."""
 
     status: int
     body: bytes
 
 
 def send_page(request: CallerRequest, page: StatusPage) -> None:
-    """Reply with a page, whole."""
+    """Send a page as the complete response."""
     request.setResponseCode(page.status)
     length = str(len(page.body)).encode()
     request.responseHeaders.setRawHeaders(b"content-length", [length])
@@ -154,7 +157,7 @@
 
 
 def status_server(answer: Callable[[str], StatusPage]) -> Any:
-    """A server of short answers: ``answer`` gets a path."""
+    """A server of status pages; ``answer`` returns the page for a path."""
 
     def take(request: CallerRequest) -> None:
         send_page(request, answer(request.path_name()))
--- a/src/coursekeel/gateway/_live_settings.py
+++ b/src/coursekeel/gateway/_live_settings.py
@@ -1,7 +1,7 @@
-"""The settings that are in force, and how they change while the process runs.
+"""The current settings of a gateway, and their reload while the process runs.
 
-Owns the one value that all tasks of a gateway read. Relies on a function that reads the
-settings file anew.
+Owns the current settings, which all tasks read. Relies on a function that reads the
+settings file again.
 """
 
 import logging
@@ -18,20 +18,20 @@
 
 @define(eq=False)
 class LiveSettings:
-    """``now`` is what is in force; a reload replaces it."""
+    """Holds the current settings in ``now``; a reload replaces them."""
 
     now: GatewaySettings
 
     @property
     def timers(self) -> GatewayTimers:
-        """The bounds of time that are in force."""
+        """The current timers."""
         return self.now.timers
 
     def reload(self, read: Callable[[], GatewaySettings]) -> None:
-        """Read the settings again; faults are logged, and the old ones stay.
+        """Replace timers and retry settings; invalid settings are logged and ignored.
 
-        Timers change. Addresses and identity can't while the process runs, and retry
-        budgets that exist keep the share they were made with.
+        Addresses and identity need a restart, and existing retry budgets keep the ratio
+        and window that they were created with.
         """
         try:
             fresh = read()
@@ -45,5 +45,5 @@
 
 
 def _fixed(settings: GatewaySettings) -> tuple[object, ...]:
-    """What can't change while the process runs."""
+    """The settings that need a restart."""
     return settings.instance_id, settings.zone, settings.listen, settings.store
--- a/src/coursekeel/gateway/_metrics.py
+++ b/src/coursekeel/gateway/_metrics.py
@@ -1,7 +1,7 @@
-"""What a gateway counts and logs of its requests and endpoints.
+"""Metrics and log lines of a gateway's requests and endpoints.
 
-Owns the metrics and the bounds on their series. Each method is one happening: one log
-line and the metrics that it moves, so that both tell the same story.
+Owns the metrics and the bounds on their series. Each method records one event, as a log
+line and in the metrics, so that both agree.
 """
 
 import math
@@ -21,18 +21,18 @@
 
 __all__ = ["GatewayMetrics", "LostRun", "logged_age_ms"]
 
-# Series of a gateway's counter and of each histogram; a few hundred in all with 24
-# teams (the users' bound, kept by tests/cover/test_gateway_metrics.py).
+# Bounds on the label sets of the request counter and of each histogram, so that the
+# number of series doesn't grow with every route that was ever configured.
 _MAX_COUNTED_SETS = 200
-_MAX_TIMED_SETS = 64  # see above
+_MAX_TIMED_SETS = 64
 
 
 @frozen
 class LostRun:
-    """A run that was lost, and ``why``.
+    """A run that was lost; ``why`` is the reason.
 
-    ``ran_ms`` is how long ago its answer's head came, None if none came; ``gave_ms``
-    how long ago its first event did, and ``events`` how many it gave.
+    ``ran_ms``: time since its response headers arrived, None if they didn't.
+    ``gave_ms``: time since its first event. ``events``: the number of its events.
     """
 
     endpoint_id: str
@@ -44,9 +44,9 @@
 
 @define(eq=False)
 class GatewayMetrics:
-    """Turns what happened into one log line and the metrics it moves.
+    """Logs and counts what happens to requests, runs and endpoints.
 
-    ``belief`` gives what routes and keys are taken from now.
+    ``belief`` returns the version and age of the cached configuration.
     """
 
     clock: Clock
@@ -66,7 +66,11 @@
         first_ms: float | None = None,
         ways: Sequence[str] = (),
     ) -> None:
-        """A request came to its end."""
+        """Record the end of an admitted request.
+
+        ``code`` is its outcome and ``sends`` how often it was sent. ``first_ms`` is the
+        time of a stream's first event; ``ways`` are how the runs of a stream started.
+        """
         now_ms = self.clock.now_ms()
         self._count(call.team_name, call.route.name, code)
         self._time(call, first_ms, now_ms)
@@ -91,7 +95,7 @@
     def _time(
         self, call: AdmittedRequest, first_ms: float | None, now_ms: float
     ) -> None:
-        """A stream is timed to its first event, a whole answer to its end."""
+        """Time a stream up to its first event, any other request up to its end."""
         timed = self._times(call)
         if first_ms is not None:
             first_s = (first_ms - call.arrived_ms) / MS_PER_SECOND
@@ -108,7 +112,7 @@
         return self._timed.of({"team": call.team_name, "class": call.route.name})
 
     def barred(self, call: AdmittedRequest, barred_ms: float) -> None:
-        """A request wasn't admitted since endpoints ended under what it asks."""
+        """Record a request refused for ``barred_ms``: it crashed endpoints before."""
         self._count(call.team_name, call.route.name, STOPS_ENDPOINTS)
         log_event(
             "request_refused",
@@ -122,7 +126,7 @@
     def refused(
         self, request_id: str, refusal: GatewayRefusal, routes_age_ms: float
     ) -> None:
-        """A request wasn't admitted, with routes and keys of this age."""
+        """Record a request that wasn't admitted, and the age of routes and keys."""
         self._count("", "", refusal.code)
         log_event(
             "request_refused",
@@ -142,9 +146,10 @@
         copy_id: str = "",
         version: str = "",
     ) -> None:
-        """A request is sent to an endpoint, for these reasons.
+        """Log the choice of an endpoint for a request, with what it was based on.
 
-        ``version`` is the endpoint's, if its pool has an order of a roll-out.
+        ``candidates`` is the number of endpoints to choose from. ``version`` is the
+        endpoint's, if its pool has a rollout order.
         """
         now_ms, belief = self.clock.now_ms(), self.belief()
         fields: dict[str, Any] = {
@@ -172,7 +177,7 @@
         log_event("endpoint_chosen", **fields)
 
     def try_ended(self, call: AdmittedRequest, endpoint_id: str, outcome: str) -> None:
-        """A send came back without an answer to give out."""
+        """Record a send that brought no answer for the caller."""
         self.metrics.attempts.inc({"way": outcome})
         log_event(
             "try_ended",
@@ -183,7 +188,10 @@
         )
 
     def run_lost(self, call: AdmittedRequest, lost: LostRun, position: int) -> None:
-        """A run was lost before its answer was whole."""
+        """Record a run that was lost before its answer was complete.
+
+        ``position`` is the number of the answer's last event so far.
+        """
         self.metrics.attempts.inc({"way": "lost"})
         fields: dict[str, Any] = {}
         if lost.ran_ms is not None:
@@ -200,14 +208,14 @@
         )
 
     def endpoint_ended(self, endpoint_id: str, fingerprints: Sequence[str]) -> None:
-        """An endpoint ended while it had these requests."""
+        """Record the crash of an endpoint that had these requests."""
         self.metrics.attempts.inc({"way": "ended_under"})
         log_event(
             "endpoint_ended", endpoint=endpoint_id, fingerprints=",".join(fingerprints)
         )
 
     def resumed(self, call: AdmittedRequest, way: str, waited_ms: float) -> None:
-        """An answer went on after a loss."""
+        """Record that an answer resumed, ``waited_ms`` after the loss of its run."""
         self.metrics.resume_s.observe(self._times(call), waited_ms / MS_PER_SECOND)
         log_event(
             "run_resumed",
@@ -217,7 +225,7 @@
         )
 
     def ejected(self, endpoint_id: str, reason: str, ejected_ms: float) -> None:
-        """An endpoint takes no new work for a while."""
+        """Record that an endpoint gets no new work for ``ejected_ms``."""
         self.metrics.attempts.inc({"way": "ejected"})
         log_event(
             "endpoint_ejected",
@@ -227,10 +235,10 @@
         )
 
     def gauge(self, name: str, doc: str, read: Callable[[], float]) -> None:
-        """Add a gauge that is read when the metrics are asked for."""
+        """Add a gauge whose value is read whenever the metrics are rendered."""
         self.metrics.gauge(name, doc, read)
 
 
 def logged_age_ms(age_ms: float) -> int | str:
-    """An age as log lines give it, in whole ms; "none" if nothing was ever proven."""
+    """Format an age for log lines: whole ms, or "none" without any confirmation."""
     return round(age_ms) if math.isfinite(age_ms) else "none"
--- a/src/coursekeel/gateway/_request.py
+++ b/src/coursekeel/gateway/_request.py
@@ -1,6 +1,6 @@
-"""One caller's request after admission: what is sent on, for whom, until when.
+"""One admitted request: what to forward, for which team, until when.
 
-Owns no state. Relies on the route table's types and on what the caller's headers said.
+Owns no state. Relies on the types of routes and on the caller's parsed headers.
 """
 
 from functools import cached_property
@@ -13,8 +13,7 @@
 
 __all__ = ["AdmittedRequest"]
 
-# A team's rank goes before its route's. The factor only has to be greater than any
-# route's rank; those in use are single digits.
+# Greater than any route's rank, so that the team's rank has precedence.
 _ROUTE_RANKS = 100
 
 
@@ -22,9 +21,10 @@
 class AdmittedRequest:
     """A request that may be sent to an endpoint of ``pool``.
 
-    ``received`` are the caller's headers, lower case. ``due_ms`` is the last moment for
-    its answer, on this process's clock. ``copies`` says whether the pool's endpoints
-    keep copies of runs.
+    ``target`` is the request's path and query, ``received`` the caller's headers with
+    lower-case names, ``caller`` those parsed. ``due_ms`` is the deadline of its answer,
+    on this process's clock. ``copies``: whether the pool's endpoints keep copies of
+    runs.
     """
 
     method: bytes
@@ -47,12 +47,12 @@
 
     @property
     def rank(self) -> int:
-        """The place among waiting requests, 0 first."""
+        """The priority among queued requests; 0 is served first."""
         team_rank = self.team.rank if self.team else 0
         return team_rank * _ROUTE_RANKS + self.route.rank
 
     @cached_property
     def fingerprint(self) -> str:
-        """The same for what the same team asks again, whatever its id and instance."""
+        """Hash of team and content; equal for a repeat with another id."""
         asked = (self.method, self.host.encode(), self.target, self.body)
         return request_fingerprint(self.team_name, *asked)
--- a/src/coursekeel/gateway/_retry_budgets.py
+++ b/src/coursekeel/gateway/_retry_budgets.py
@@ -1,27 +1,26 @@
-"""Retry: may this instance send a request once more?
-
-Rule: a send after one that may have arrived takes a repeat from the budget of the
-request's pool (`routing.WindowBudget`); without one the request isn't sent again. A
-send that surely reached no endpoint costs nothing.
-
-The users bound repeats by a ratio of a pool's requests plus a slack in a window, over
-all instances together (`RetryShare`). Each instance keeps a part:
-
-- it earns a little less than half of the ratio by its own requests. What is spent in
-  a window was earned in it or in the one before, so that the ratio holds of the larger;
-- its part of the slack is one of as many as there are members in its group; a tenth of
-  it comes back over the window and the rest can be saved up. Members that were lost
-  lately count, since a group that is split spends in both halves. One that began less
-  than a window ago has nothing saved: it may be one of many that begin again at once,
-  whose earlier lives spent their parts in the same window. One that can't know others
-  takes one of `_PLANNED_INSTANCES`, at once.
-
-Parts of less than one are drawn for, so some of the slack is left for luck.
-
-Reason: a fault that hits many requests at once must not double the load of those that
-still work. This is the budget that binds in a gateway. The one that `Router` keeps for
-each class (0.2 a success) is asked only for requests marked as continuing, which no
-gateway sends; it binds in the entry.
+"""Retry budgets of a gateway, one for each pool.
+
+Rule: a send after one that may have reached an endpoint takes a retry from the budget
+of the request's pool (`routing.WindowBudget`); if there is none, the request isn't sent
+again. A send that certainly reached no endpoint costs nothing.
+
+All instances together may send ``ratio`` of a pool's requests plus ``slack`` retries in
+a window (`RetryShare`). Each instance has a part of that:
+
+- its own requests earn it slightly less than half of the ratio, since retries spent in
+  one window may have been earned in that window or in the one before;
+- the slack is divided by the number of group members, including recently lost ones,
+  since both halves of a partitioned group spend. A tenth of the part refills over a
+  window; the rest is a reserve. The reserve is empty until the process has run for a
+  window, since many instances may restart at once after spending their parts. An
+  instance without an address for peers divides by `_PLANNED_INSTANCES` and has its
+  reserve at once.
+
+A fraction of a retry is allowed at random; a part of the slack covers the variance.
+
+Reason: a fault that hits many requests at once must not double the load on the
+remaining endpoints. `Router` has budgets too, but checks them only for requests marked
+as continuing, which only the entry sends.
 """
 
 from collections.abc import Callable
@@ -38,37 +37,34 @@
 
 __all__ = ["RetryBudgets", "SendAccount", "fit_budget", "shared_budget"]
 
-# For an instance without an address for peers. A little above the instances of a small
-# site, with its spares.
+# For an instance without an address for peers; more than a small site has.
 _PLANNED_INSTANCES = 14
 
-# For one that has just begun, while the others have shared all among themselves: what
-# comes back to it is next to nothing until it knows them.
+# For an instance that has found no members yet, while the others divide all of the
+# slack among themselves.
 _UNKNOWN_INSTANCES = 50
 
-# How much of an instance's part comes back over the window; the rest is there at the
-# start. The less, the more a single instance can send again at once: with 0.1 a lone
-# stream of 19 instances (slack 20) or of 195 (slack 150) is sent again with odds of
-# 0.89 and 0.92; with 0.25 and parts set aside for joining, 0.70 and 0.78 (worked out).
+# Share of an instance's part that refills over the window; the rest is its reserve. A
+# small share lets a single instance send more retries at once.
 _REFILLED_SHARE = 0.1
 
-# Of the ratio's repeats, the part that a request earns at the instance that sees it.
-# Half is the most, since two windows' earnings may be spent in one; a tenth of that is
-# left for the luck of the lots that are drawn for earnings. With half, 9 instances of
-# which all began anew passed a bound of 278 by one (`test_shared_budget.py`).
+# Share of the ratio that a request earns at its instance. At most half, since earnings
+# of two windows may be spent in one; less, to cover the variance of random retries.
 _OWN_SHARE = 0.45
 
-# Of the slack, so much by the square root of the instances is left for luck: four
-# standard deviations of as many lots, each at even odds. At most half of the slack.
+# Retries kept back from the slack, times the square root of the number of instances:
+# four standard deviations of one random draw at even odds by each instance. At most
+# this share of the slack.
 _LUCK = 2.0
-_MOST_LUCK_SHARE = 0.5  # see above
+_MOST_LUCK_SHARE = 0.5
 
 
 @define
 class RetryBudgets:
-    """One budget for each pool.
+    """The retry budgets of one instance, one for each pool.
 
-    ``members`` says how many instances share them, None if that can't be known.
+    ``members`` returns the number of instances that share them, None without an address
+    for peers.
     """
 
     settings: LiveSettings
@@ -85,7 +81,7 @@
         self._saves_from_ms = self.clock.now_ms() + window_ms
 
     def of(self, pool: str) -> WindowBudget:
-        """The repeats that this instance may send to a pool."""
+        """The budget of retries that this instance may send to a pool."""
         members = self.members()
         instances = _instances(members)
         if not self._saves:
@@ -104,7 +100,7 @@
         return budget
 
     def _begin_to_save(self, members: int | None) -> None:
-        """Once this process has run for a window, its part is there."""
+        """Fill the reserves once this process has run for a window."""
         alone = members is None
         self._saves = alone or self.clock.now_ms() >= self._saves_from_ms
         if self._saves:
@@ -114,20 +110,20 @@
 
 @define
 class SendAccount:
-    """The sends of one request, and what they cost ``budget``."""
+    """Counts the sends of one request and takes its retries from ``budget``."""
 
     budget: WindowBudget
     _arrivals: int = 0
 
     def may_send(self, now_ms: float) -> bool:
-        """Say whether one more send may be made; it then counts as made."""
+        """Whether the request may be sent (again); if so, the send is counted."""
         if self._arrivals and not self.budget.take(now_ms):
             return False
         self._arrivals += 1
         return True
 
     def not_sent(self) -> None:
-        """A send that was made reached no endpoint."""
+        """Return the cost of the last send, which reached no endpoint."""
         self._arrivals -= 1
         if self._arrivals:
             self.budget.give_back()
@@ -144,10 +140,10 @@
 def shared_budget(
     share: RetryShare, random: Random, instances: int = _PLANNED_INSTANCES
 ) -> WindowBudget:
-    """One instance's part of a budget that holds for all instances together.
+    """One instance's part of a budget that all instances share.
 
-    It begins with the least that any size of the group would give it: what it may save
-    up comes back with time.
+    The reserve starts at the part of one of `_PLANNED_INSTANCES` at most, and refills
+    from there.
     """
     budget = WindowBudget(
         _OWN_SHARE * share.ratio, share.window_s * MS_PER_SECOND, random
@@ -158,7 +154,7 @@
 
 
 def fit_budget(budget: WindowBudget, share: RetryShare, instances: int) -> None:
-    """Make a budget one of so many parts; what is over the new cap is given up."""
+    """Set a budget's part for a number of instances; savings above it are dropped."""
     refill_per_s = _REFILLED_SHARE * _part(share, instances) / share.window_s
     budget.fit(_saved(share, instances), refill_per_s)
 
