--- a/src/coursekeel/runtime/__init__.py
+++ b/src/coursekeel/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""What every role needs: the process, the clock, periodic work, the cores' tasks."""
+"""Code shared by all roles: process, clock, periodic work, drivers of the cores."""
 
 from coursekeel.runtime._answer_driver import AnswerDriver, AnswerShell
 from coursekeel.runtime._bounded_body import BoundedBody
--- a/src/coursekeel/runtime/_answer_driver.py
+++ b/src/coursekeel/runtime/_answer_driver.py
@@ -1,7 +1,7 @@
-"""Drives one `AnswerCore`: hands it events one at a time, and keeps its alarm.
+"""Drives one `AnswerCore`: passes it events one at a time, and runs its timer.
 
-Owns the queue of events and the one timer. Relies on an `AnswerShell`, which owns the
-sockets and carries out what the core asks for.
+Owns the queue of events and the timer. Relies on an `AnswerShell`, which owns the
+sockets and carries out the core's actions.
 """
 
 import math
@@ -19,21 +19,21 @@
 
 __all__ = ["AnswerDriver", "AnswerShell"]
 
-# How often an answer whose reading is held looks whether it still is. A held answer has
-# pieces in hand, so that nothing waits for this.
+# Interval of the timer while reading is paused. The caller has unsent output then, so
+# nothing waits for this timer.
 _HELD_LOOK_MS = 500.0
 
 
 class AnswerShell(ABC):
-    """Carries out what an answer's core asks for."""
+    """Carries out the actions of an answer's core; the role's task implements it."""
 
     @abstractmethod
     def carry_out(self, action: Action, now_ms: float) -> None:
-        """Do what is asked; events that it leads to wait until the others are done."""
+        """Carry out one action; events that it causes are queued."""
 
     @abstractmethod
     def event_taken(self, event: Event, actions: list[Action]) -> None:
-        """An event led to these actions, which have all been carried out."""
+        """Called after all actions that an event led to were carried out."""
 
 
 def _always() -> bool:
@@ -42,12 +42,12 @@
 
 @define(eq=False)
 class AnswerDriver:
-    """Feeds ``core``, and lets ``shell`` carry out its actions.
+    """Passes events to ``core`` and its actions to ``shell``.
 
-    An alarm that rings ``own_pause_ms`` late or more tells of a pause of this process:
-    what came meanwhile lies unread, and silence until now says nothing. While
-    ``reading_held`` this process itself doesn't read, so silence says nothing either;
-    nor does it while ``silence_counts`` says no. Patience ends all the same.
+    A stall of the stream isn't judged in three cases: the timer fired more than
+    ``own_pause_ms`` late, since this process was paused and has unread data;
+    ``reading_held``, since reading is paused; ``silence_counts`` returns false. In the
+    first and the last case the request's patience is still checked.
     """
 
     core: AnswerCore[Any]
@@ -62,9 +62,9 @@
     _alarm: Any = None
 
     def tell(self, event: Event, now_ms: float | None = None) -> None:
-        """Take an event; one that comes while another is taken waits its turn.
+        """Handle an event; during the handling of another one it is queued.
 
-        ``now_ms`` spares reading the clock twice for a line of tokens.
+        ``now_ms`` is the event's time if the caller has just read the clock.
         """
         self._events.append(event)
         if self._busy:
@@ -88,7 +88,7 @@
         self.shell.event_taken(event, actions)
 
     def stop_alarm(self) -> None:
-        """Ring no more."""
+        """Cancel the timer."""
         if self._alarm is not None and self._alarm.active():
             self._alarm.cancel()
 
@@ -96,9 +96,9 @@
         self.stop_alarm()
         if not math.isfinite(at_ms):
             return
-        # A moment that has passed is no sign of a pause: seen in a test, an alarm set
-        # for one rang late, was set for the same moment again, and so on for ever.
-        # The clock is read once: it moves on between two readings.
+        # A time in the past counts as due now: otherwise the timer would seem late, be
+        # set again for the same time, and so on for ever. The clock is read once, since
+        # a second value could make the delay negative.
         now_ms = self.clock.now_ms()
         due_ms = max(at_ms, now_ms)
         wait_s = (due_ms - now_ms) / MS_PER_SECOND
--- a/src/coursekeel/runtime/_bounded_body.py
+++ b/src/coursekeel/runtime/_bounded_body.py
@@ -1,7 +1,7 @@
-"""A request body that stays in memory, and is bounded before it is read.
+"""A request body that is kept in memory, with a limit on its size.
 
 Instances have no disks, and Twisted would write a large body to a temporary file. Owns
-a request's body; mixed into Twisted's request classes, in front of them.
+the body of a request.
 """
 
 from io import BytesIO
@@ -11,18 +11,18 @@
 
 
 class BoundedBody:
-    """Collects a body up to a limit, and tells once of one that is larger."""
+    """Collects a body up to a limit; a mixin to put before Twisted's request class."""
 
     content: Any
     body_is_too_large = False
     _received_bytes = 0
 
     def body_limit_bytes(self) -> int:
-        """The most bytes that are taken now."""
+        """The current limit on the body's size."""
         raise NotImplementedError
 
     def body_too_large(self) -> None:
-        """The body is larger; nothing more of it is kept."""
+        """Called once, when the body is found to exceed the limit."""
 
     def gotLength(self, length: int | None) -> None:
         self.content = BytesIO()
--- a/src/coursekeel/runtime/_clock.py
+++ b/src/coursekeel/runtime/_clock.py
@@ -1,9 +1,9 @@
-"""Local steady time, the only time that decides anything.
+"""The local monotonic clock, the only one that decisions use.
 
-Owns the choice of the system's clock. CLOCK_BOOTTIME, since CLOCK_MONOTONIC stands
-still while Linux suspends a machine (clock_gettime(2)): proofs, leases and deadlines
-would come back from a suspension as young as they went into it. The reactor's timers
-run by CLOCK_MONOTONIC, so after a suspension they ring late, as after a pause.
+Owns the choice of the system's clock. CLOCK_BOOTTIME, since CLOCK_MONOTONIC stops while
+Linux suspends a machine (clock_gettime(2)): confirmations, leases and deadlines
+wouldn't age during a suspension. The reactor's timers use CLOCK_MONOTONIC, so after a
+suspension they fire late, as after a pause of the process.
 """
 
 import time
@@ -17,13 +17,13 @@
 
 @frozen
 class Clock:
-    """Milliseconds that never go back, and that go on while the process is paused.
+    """A monotonic clock that also advances while the process or machine is paused.
 
-    Where the system has no CLOCK_BOOTTIME, a suspended machine's time isn't counted.
+    On systems without CLOCK_BOOTTIME, it stops while the machine is suspended.
     """
 
     def now_ms(self) -> float:
-        """The present time in milliseconds since some fixed moment."""
+        """The current time in milliseconds since an arbitrary fixed time."""
         return time.clock_gettime(_CLOCK_ID) * 1000
 
     def suspended_ms(self) -> float:
@@ -34,5 +34,5 @@
         return (time.clock_gettime(_CLOCK_ID) - time.monotonic()) * 1000
 
     def wall_s(self) -> int:
-        """Seconds of the calendar, for keeping times only; no promise rests on it."""
+        """Wall-clock time in Unix seconds; used only for the age of stored data."""
         return int(time.time())
--- a/src/coursekeel/runtime/_periodic.py
+++ b/src/coursekeel/runtime/_periodic.py
@@ -1,4 +1,4 @@
-"""A task that does one thing again and again, one run at a time."""
+"""A periodic task that runs a coroutine at an interval, one run at a time."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,10 @@
 
 
 def spawn(work: Any, name: str, reactor: Any) -> "Deferred[None]":
-    """Run a coroutine by itself; a broken invariant in it stops the process."""
+    """Run a coroutine in the background; failures are logged as those of ``name``.
+
+    A broken invariant stops the reactor.
+    """
 
     def failed(failure: Any) -> None:
         trace = failure.getTraceback()
@@ -30,7 +33,7 @@
 
 @define(eq=False)
 class Periodic:
-    """Calls ``work`` every ``interval_ms``, and never twice at once."""
+    """Runs ``work``, waits ``interval_ms`` after its end, and runs it again."""
 
     reactor: Reactor
     name: str
@@ -42,18 +45,18 @@
     _timer: Any = field(default=None)
 
     def start(self) -> None:
-        """Begin with a run at once."""
+        """Start with a run at once."""
         self._stopped = False
         self.now()
 
     def stop(self) -> None:
-        """Don't start another run."""
+        """Start no more runs; one in progress goes on."""
         self._stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
     def now(self) -> None:
-        """Run at once, or directly after the run that is under way."""
+        """Run at once, or directly after the run in progress."""
         if self._running:
             self._again = True
             return
--- a/src/coursekeel/runtime/_process.py
+++ b/src/coursekeel/runtime/_process.py
@@ -1,4 +1,4 @@
-"""Run one role on the asyncio reactor until a signal ends it."""
+"""Runs one role on the asyncio reactor until a signal stops it."""
 
 import gc
 import logging
@@ -18,36 +18,35 @@
 __all__ = ["Role", "install_reactor", "run_role"]
 
 EXIT_BROKEN = 70  # EX_SOFTWARE of sysexits.h
-# Allocations between two looks of the garbage collector (Python's own is 700): most
-# objects here are freed by their count.
+# Threshold of the garbage collector's youngest generation. Far above Python's default,
+# since reference counting frees most objects.
 _COLLECT_AFTER = 20_000
-# How often lines that a slow reader left waiting are tried again, and the clocks are
-# compared.
+# Interval at which buffered log lines are written again and suspensions are detected.
 _UPKEEP_MS = 500
 
 
 class Role(ABC):
-    """What a process does between its start and its end."""
+    """What a process serves: the entry or the gateway."""
 
     @abstractmethod
     async def start(self) -> None:
-        """Open the sockets and begin."""
+        """Open the sockets and start serving."""
 
     @abstractmethod
     async def stop(self) -> None:
-        """Finish what runs, and close."""
+        """Finish open requests and close."""
 
     def reload(self) -> None:
-        """Read the settings again; a role that can't keeps what it has."""
+        """Read the settings again on SIGHUP; by default the signal is ignored."""
         log_event("reload_ignored")
 
 
 @define
 class _FailureWatch:
-    """Hears what Twisted caught; a broken invariant ends the process.
+    """Logs the exceptions that Twisted caught; a broken invariant stops the process.
 
-    Twisted closes the connection in whose callback an exception rose and goes on. For
-    an invariant that isn't enough: what else this process holds can't be trusted.
+    For other exceptions it is enough that Twisted closes the connection concerned.
+    After a broken invariant the state of the whole process may be wrong.
     """
 
     reactor: Reactor
@@ -65,9 +64,9 @@
 
 
 def install_reactor() -> Reactor:
-    """Choose the asyncio reactor, before anything imports the default one.
+    """Install the asyncio reactor; call it before anything imports the default one.
 
-    gRPC needs the asyncio loop, so it is that one.
+    gRPC needs an asyncio event loop.
     """
     from twisted.internet import asyncioreactor
 
@@ -108,7 +107,7 @@
 
 
 def _upkeep(reactor: Reactor) -> Periodic:
-    """Writes what a slow reader of the log left, and tells of suspensions."""
+    """The periodic task that flushes buffered log lines and logs suspensions."""
     clock = Clock()
     watch = SuspensionWatch(clock.suspended_ms())
 
@@ -122,7 +121,7 @@
 
 
 def _collect_seldom() -> None:
-    """Collect seldom: what lives long is frozen, what doesn't is freed by count."""
+    """Freeze the objects that exist at start, and run the garbage collector rarely."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(_COLLECT_AFTER, 10, 10)
--- a/src/coursekeel/runtime/_routing_task.py
+++ b/src/coursekeel/runtime/_routing_task.py
@@ -1,7 +1,7 @@
-"""The task that owns routing and tells each request what was decided.
+"""The task that drives `Router` and passes its decisions to the requests.
 
-Owns the numbers of requests and who waits for which decision. Relies on `Router`, a
-core, for every decision.
+Owns the numbers of requests and the callbacks that wait for decisions. Relies on
+`Router`, a core, for every decision.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,14 +15,14 @@
 
 __all__ = ["RoutingTask"]
 
-# How often waiting requests are looked at when nothing else happens, so that those
-# whose time is over are refused. A small part of any route's time.
+# Interval at which waiting requests are reviewed if nothing else happens, so that those
+# past their deadline are refused.
 _REVIEW_MS = 50
 
 
 @define(eq=False)
 class RoutingTask:
-    """Feeds `Router` and hands its decisions to those who asked."""
+    """Passes requests and load reports to `Router`, and its decisions to callbacks."""
 
     reactor: Reactor
     clock: Clock
@@ -34,9 +34,9 @@
     def place(
         self, request: PlacementRequest, decided: Callable[[Decision], None]
     ) -> int:
-        """Ask for an endpoint; ``decided`` is called once, maybe before this returns.
+        """Request an endpoint; returns the number that the request was given.
 
-        The request gets the number that is returned.
+        ``decided`` is called once with the decision, possibly before this returns.
         """
         self._last_number += 1
         number = self._last_number
@@ -47,26 +47,26 @@
         return number
 
     def withdraw(self, number: int) -> None:
-        """The request needs no endpoint any more."""
+        """Remove a request that no longer needs an endpoint."""
         if self._waiting.pop(number, None) is not None:
             self.router.withdraw(number)
 
     def released(self, endpoint_id: str, run_ms: float, failed: bool = False) -> None:
-        """A granted place is free again; ``failed`` if the endpoint failed the run."""
+        """Free a granted place after a run of ``run_ms``, which may have ``failed``."""
         now_ms = self.clock.now_ms()
         self._tell(self.router.released(endpoint_id, run_ms, now_ms, failed))
 
     def returned(self, endpoint_id: str, prompt_tokens: int) -> None:
-        """A granted place wasn't used, and is free again."""
+        """Free a granted place to which nothing was sent."""
         now_ms = self.clock.now_ms()
         self._tell(self.router.returned(endpoint_id, prompt_tokens, now_ms))
 
     def reported(self, report: LoadReport) -> None:
-        """An endpoint's load report came."""
+        """Apply an endpoint's load report."""
         self._tell(self.router.reported(report, self.clock.now_ms()))
 
     def review(self) -> None:
-        """Look again at what waits, since endpoints may have come or gone."""
+        """Review waiting requests, for example after the endpoints have changed."""
         self._timer = None
         self._tell(self.router.review(self.clock.now_ms()))
         self._review_later()
