--- a/src/coursekeel/gateway/_caller_reply.py
+++ b/src/coursekeel/gateway/_caller_reply.py
@@ -28,14 +28,14 @@
     shutdown: Shutdown
     head_sent: bool = False
     ended: bool = False
-    _on_gone: list[Callable[[], None]] = field(factory=list)
+    _disconnect_callbacks: list[Callable[[], None]] = field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        self.request.notifyFinish().addErrback(self._caller_left)
+        self.request.notifyFinish().addErrback(self._on_disconnect)
 
-    def on_gone(self, told: Callable[[], None]) -> None:
-        """Call ``told`` if the caller disconnects before the reply has ended."""
-        self._on_gone.append(told)
+    def on_gone(self, callback: Callable[[], None]) -> None:
+        """Call ``callback`` if the caller disconnects before the reply has ended."""
+        self._disconnect_callbacks.append(callback)
 
     def head(self, status: int, headers: HeaderPairs) -> None:
         """Send status and headers; without `Content-Length` the body is chunked."""
@@ -71,8 +71,8 @@
         """Send the refusal as a complete reply."""
         headers = [(b"content-type", b"text/plain")]
         if refusal.retry_after_ms:
-            after_s = f"{refusal.retry_after_ms / MS_PER_SECOND:.3f}"
-            headers.append((b"retry-after", after_s.encode()))
+            retry_after_s = f"{refusal.retry_after_ms / MS_PER_SECOND:.3f}"
+            headers.append((b"retry-after", retry_after_s.encode()))
         self.whole(refusal.status, headers, refusal.code.encode())
 
     def cut(self) -> None:
@@ -81,9 +81,9 @@
             self.ended = True
             self.request.channel.loseConnection()
 
-    def _caller_left(self, _: object) -> None:
+    def _on_disconnect(self, _: object) -> None:
         if self.ended:
             return
         self.ended = True
-        for told in self._on_gone:
-            told()
+        for callback in self._disconnect_callbacks:
+            callback()
--- a/src/coursekeel/gateway/_dispatcher.py
+++ b/src/coursekeel/gateway/_dispatcher.py
@@ -52,79 +52,79 @@
     callers: CallerDialect
     shutdown: Shutdown
     alone_in_zone: Callable[[], bool]
-    hold: StartHold = field(factory=StartHold)
+    start_hold: StartHold = field(factory=StartHold)
     open_requests: int = 0
 
-    def take(self, request: CallerRequest) -> None:
+    def handle_request(self, request: CallerRequest) -> None:
         """Handle one completely received request; called by the HTTP server."""
-        received = request.header_pairs()
-        caller = self.callers.read(received)
+        headers = request.header_pairs()
+        caller = self.callers.read(headers)
         self.open_requests += 1
-        request.notifyFinish().addBoth(self._over)
+        request.notifyFinish().addBoth(self._on_request_end)
         reply = CallerReply(request, self.shutdown)
         arrived_ms = self.context.clock.now_ms()
 
         def serve() -> None:
-            self._serve(request, received, caller, reply, arrived_ms)
+            self._serve(request, headers, caller, reply, arrived_ms)
 
-        if self._may_hold():
-            self._hold(reply, caller, serve)
+        if self._must_wait_for_reads():
+            self._wait_for_reads(reply, caller, serve)
         else:
             serve()
 
-    def _may_hold(self) -> bool:
-        coming = self.hold.state is FirstReadings.COMING
+    def _must_wait_for_reads(self) -> bool:
+        reads_pending = self.start_hold.state is FirstReadings.COMING
         has_room = self.open_requests <= self.context.settings.now.max_open_requests
-        return coming and has_room and not self.shutdown.begun
+        return reads_pending and has_room and not self.shutdown.begun
 
-    def _hold(
+    def _wait_for_reads(
         self, reply: CallerReply, caller: CallerHeaders, serve: Callable[[], None]
     ) -> None:
-        number = self.hold.add(serve)
+        number = self.start_hold.add(serve)
         wait_ms = max(NOT_YET_RETRY_MS, outage_wait_ms(caller.deadline_ms))
-        release = self.context.reactor.callLater(
-            wait_ms / MS_PER_SECOND, self.hold.release, number
+        timer = self.context.reactor.callLater(
+            wait_ms / MS_PER_SECOND, self.start_hold.release, number
         )
 
-        def caller_left() -> None:
-            self.hold.withdraw(number)
-            if release.active():
-                release.cancel()
+        def on_caller_left() -> None:
+            self.start_hold.withdraw(number)
+            if timer.active():
+                timer.cancel()
 
         # A timer that fires after its request was resumed has no effect.
-        reply.on_gone(caller_left)
+        reply.on_gone(on_caller_left)
 
     def _serve(
         self,
         request: CallerRequest,
-        received: HeaderPairs,
+        headers: HeaderPairs,
         caller: CallerHeaders,
         reply: CallerReply,
         arrived_ms: float,
     ) -> None:
         arrival = Arrival(request.host_name(), request.path_name(), caller.key)
-        outcome = admit(arrival, self._admission())
+        outcome = admit(arrival, self._admission_state())
         if isinstance(outcome, GatewayRefusal):
             self._refuse(reply, caller, outcome)
             return
-        call = self._admitted(request, received, caller, outcome, arrived_ms)
+        call = self._admitted_request(request, headers, caller, outcome, arrived_ms)
         if call is None:
             self._refuse(reply, caller, _NO_POOL)
         elif barred_ms := self.context.quarantine.barred_ms(call):
             self.context.metrics.barred(call, barred_ms)
             reply.refuse(evolve(_BARRED, retry_after_ms=barred_ms))
         elif call.route.kind.streams:
-            self._stream(call, reply).start()
+            self._stream_task(call, reply).start()
         else:
             WholeAnswerTask(self.context, call, reply).start()
 
-    def _stream(self, call: AdmittedRequest, reply: CallerReply) -> StreamTask:
+    def _stream_task(self, call: AdmittedRequest, reply: CallerReply) -> StreamTask:
         return StreamTask(self.context, self.reports, self.successors, call, reply)
 
-    def _over(self, _: object) -> None:
+    def _on_request_end(self, _: object) -> None:
         self.open_requests -= 1
 
-    def _admission(self) -> Admission:
+    def _admission_state(self) -> Admission:
         site, settings = self.context.site, self.context.settings
         return Admission(
             routes=site.routes,
@@ -152,10 +152,10 @@
         )
         reply.refuse(evolve(refusal, retry_after_ms=retry_after_ms))
 
-    def _admitted(
+    def _admitted_request(
         self,
         request: CallerRequest,
-        received: HeaderPairs,
+        headers: HeaderPairs,
         caller: CallerHeaders,
         admitted: Admitted,
         arrived_ms: float,
@@ -167,12 +167,12 @@
         pool = routes.pools.get(route.pick_pool(context.random))
         if pool is None:
             return None
-        within_ms = min(route.timeout_ms, caller.deadline_ms or route.timeout_ms)
+        timeout_ms = min(route.timeout_ms, caller.deadline_ms or route.timeout_ms)
         return AdmittedRequest(
             request.method,
             request.host_name(),
             request.uri,
-            received,
+            headers,
             request.content.read(),
             caller,
             route,
@@ -180,5 +180,5 @@
             pool.copies,
             admitted.team,
             arrived_ms,
-            arrived_ms + within_ms,
+            arrived_ms + timeout_ms,
         )
--- a/src/coursekeel/gateway/_gateway.py
+++ b/src/coursekeel/gateway/_gateway.py
@@ -58,10 +58,10 @@
 
 # Connections that the kernel queues until they are accepted: more than callers open
 # during one iteration of a busy event loop.
-_BACKLOG = 512
+_LISTEN_BACKLOG = 512
 
 # Interval at which a stopping instance checks whether all requests have ended.
-_DRAIN_LOOK_S = 0.05
+_DRAIN_CHECK_INTERVAL_S = 0.05
 
 # Bounds on `Retry-After` of routing's refusals, and how long a continuing request waits
 # before it may go to an endpoint that it excludes. Shorter than the defaults, since
@@ -90,12 +90,12 @@
     read_settings: Callable[[], GatewaySettings] | None = None
     clock: Clock = field(factory=Clock)
     shutdown: Shutdown = field(factory=Shutdown)
-    _live: LiveSettings = field(init=False)
+    _live_settings: LiveSettings = field(init=False)
     _router: Router = field(init=False)
     _group: Group = field(init=False)
-    _keeper: SuspectKeeper = field(init=False)
+    _suspect_keeper: SuspectKeeper = field(init=False)
     _site: KnownSite = field(init=False)
-    _hold: StartHold = field(factory=StartHold)
+    _start_hold: StartHold = field(factory=StartHold)
     _rollouts: CanaryTask = field(init=False)
     _metrics: GatewayMetrics = field(init=False)
     _dispatcher: Dispatcher = field(init=False)
@@ -106,14 +106,14 @@
     def __attrs_post_init__(self) -> None:
         random = Random(self.settings.seed)
         directory = EndpointDirectory()
-        self._live = LiveSettings(self.settings)
+        self._live_settings = LiveSettings(self.settings)
         self._router = Router(
             self.settings.zone, random, directory.may_take, _ROUTER_SETTINGS
         )
         routing = RoutingTask(self.reactor, self.clock, self._router)
         freshness = Freshness()
         quarantine = Quarantine()
-        self._keeper = SuspectKeeper(
+        self._suspect_keeper = SuspectKeeper(
             self.reactor,
             self.clock,
             self.suspect_table,
@@ -123,13 +123,13 @@
         self._group = Group(
             self.reactor,
             self.clock,
-            self._live,
+            self._live_settings,
             freshness,
             self.source,
             random,
             self.link,
             quarantine,
-            self._keeper.changed,
+            self._suspect_keeper.changed,
             lambda message: self._rollouts.received(message),
         )
         canary = self.settings.canary
@@ -141,12 +141,12 @@
         self._site = KnownSite(
             self.reactor,
             self.clock,
-            self._live,
+            self._live_settings,
             directory,
             routing,
             self._group.store_is_away_for_all,
             freshness,
-            self._hold,
+            self._start_hold,
             rollouts,
             lambda: self._rollouts.ordered(),
         )
@@ -164,28 +164,33 @@
         )
         self._metrics = GatewayMetrics(self.clock, self._site.belief)
         client = EndpointClient(
-            self.reactor, self.clock, self._live, self.endpoints, self.link
+            self.reactor, self.clock, self._live_settings, self.endpoints, self.link
         )
         health = EndpointHealth(self.clock, self._site, self._router, self._metrics)
         gate = QuarantineGate(
-            self.clock, quarantine, self._group.tell_suspects, self._keeper.touched
+            self.clock,
+            quarantine,
+            self._group.tell_suspects,
+            self._suspect_keeper.touched,
         )
         context = GatewayContext(
             self.reactor,
             self.clock,
             random,
-            self._live,
+            self._live_settings,
             self._site,
             routing,
             client,
             health,
-            RetryBudgets(self._live, lambda: self._group.members, random, self.clock),
+            RetryBudgets(
+                self._live_settings, lambda: self._group.members, random, self.clock
+            ),
             self._metrics,
             gate,
             CrashWatch(
                 self.reactor,
                 self.clock,
-                self._live,
+                self._live_settings,
                 self._site,
                 client,
                 health,
@@ -202,7 +207,7 @@
             self.callers,
             self.shutdown,
             lambda: self._group.alone_in_zone,
-            self._hold,
+            self._start_hold,
         )
         self._follow_tasks = self._make_follow_tasks(random)
         add_gauges(
@@ -210,7 +215,7 @@
             self._group,
             self._router,
             self._site,
-            self._hold,
+            self._start_hold,
             self._dispatcher,
             self._follow_tasks[0],
         )
@@ -223,8 +228,8 @@
                 timers.configuration_hold_ms,
                 timers.configuration_gathering_ms,
                 site.take_configuration,
-                _needs_no_settling,
-                self._hold.failed,
+                _ignore_outage,
+                self._start_hold.failed,
                 self._store_restored,
                 site.orders_proved,
             ),
@@ -234,7 +239,7 @@
                 timers.endpoints_gathering_ms,
                 site.take_endpoints,
                 site.endpoints_back,
-                self._hold.failed,
+                self._start_hold.failed,
             ),
         )
 
@@ -246,23 +251,23 @@
                 self.clock,
                 random,
                 self._group.source,
-                each,
+                followed,
                 self.settings.timers.store_ms,
                 self._site.freshness,
                 store_clock,
-                self._group.feeds[each.table],
+                self._group.feeds[followed.table],
             )
-            for each in self._followed_tables()
+            for followed in self._followed_tables()
         ]
 
     def _report_period_ms(self) -> float:
         members = self._group.members or 1
-        return report_period_ms(members, self._live.now.canary.rollback_ms)
+        return report_period_ms(members, self._live_settings.now.canary.rollback_ms)
 
     def _store_restored(self) -> None:
         """The store was restored from an older copy and lacks the latest writes."""
         self._rollouts.store_restored()
-        self._keeper.store_restored(self._group.is_mine)
+        self._suspect_keeper.store_restored(self._group.is_mine)
 
     # Starting.
 
@@ -270,27 +275,29 @@
         """Open the sockets and start to follow the store."""
         listen = self.settings.listen
         server = caller_server(
-            self._dispatcher.take, lambda: self._site.limits, self._connections
+            self._dispatcher.handle_request,
+            lambda: self._site.limits,
+            self._connections,
         )
         self._listen(listen.callers, server)
         if listen.readiness:
-            self._listen(listen.readiness, status_server(self._readiness))
+            self._listen(listen.readiness, status_server(self._readiness_page))
         if listen.metrics:
             self._listen(listen.metrics, status_server(self._metrics_page))
         if listen.peers:
             self._listen(listen.peers, self._group.server.site())
         self._group.start()
-        self._keeper.start()
+        self._suspect_keeper.start()
         for task in self._follow_tasks:
             task.start()
         log_event("gateway_started", callers=listen.callers, zone=self.settings.zone)
-        ports = (str(each.getHost().port) for each in self._listeners)
+        ports = (str(listener.getHost().port) for listener in self._listeners)
         print("listening", *ports, flush=True)
 
     def _listen(self, address: str, server: Any) -> None:
         host, _, port = address.rpartition(":")
         listener = self.reactor.listenTCP(
-            int(port), server, backlog=_BACKLOG, interface=host
+            int(port), server, backlog=_LISTEN_BACKLOG, interface=host
         )
         self._listeners.append(listener)
 
@@ -299,7 +306,7 @@
         """Whether the load balancer should send new connections to this instance."""
         return self._site.ready and not self.shutdown.begun
 
-    def _readiness(self, path: str) -> StatusPage:
+    def _readiness_page(self, path: str) -> StatusPage:
         if path != self.callers.readiness_path:
             return StatusPage(HTTPStatus.NOT_FOUND, b"")
         if self.ready:
@@ -313,7 +320,7 @@
     def reload(self) -> None:
         """Read the settings again; invalid ones are logged and ignored."""
         if self.read_settings is not None:
-            self._live.reload(self.read_settings)
+            self._live_settings.reload(self.read_settings)
 
     # Stopping.
 
@@ -321,22 +328,22 @@
         """Finish open requests within the grace period, then close."""
         if self.shutdown.begun:
             return
-        dispatcher, grace_ms = self._dispatcher, self._live.timers.grace_ms
+        dispatcher, grace_ms = self._dispatcher, self._live_settings.timers.grace_ms
         window = StopWindow.beginning(self.clock.now_ms(), grace_ms)
         self.shutdown.window = window
         log_event("gateway_stopping", open_requests=dispatcher.open_requests)
         self._group.stop()
-        while self._must_wait(window):
-            await deferLater(self.reactor, _DRAIN_LOOK_S)
+        while self._is_draining(window):
+            await deferLater(self.reactor, _DRAIN_CHECK_INTERVAL_S)
         log_event("gateway_drained", open_requests=dispatcher.open_requests)
         await self._close_connections(window.last_ms)
-        self._keeper.stop()
+        self._suspect_keeper.stop()
         self._rollouts.stop()
         for task in self._follow_tasks:
             task.stop()
         log_event("gateway_stopped", open_requests=dispatcher.open_requests)
 
-    def _must_wait(self, window: StopWindow) -> bool:
+    def _is_draining(self, window: StopWindow) -> bool:
         """Whether to go on waiting; closes idle connections once no new ones come."""
         now_ms = self.clock.now_ms()
         if now_ms < window.settled_ms:
@@ -349,8 +356,8 @@
         self._listeners[0].stopListening()
         while len(self._connections) and self.clock.now_ms() < last_ms:
             self._connections.close_idle()
-            await deferLater(self.reactor, _DRAIN_LOOK_S)
+            await deferLater(self.reactor, _DRAIN_CHECK_INTERVAL_S)
 
 
-def _needs_no_settling(_lost_for_ms: float) -> None:
+def _ignore_outage(_outage_ms: float) -> None:
     """The configuration doesn't expire while the store is unreachable."""
--- a/src/coursekeel/gateway/_gauges.py
+++ b/src/coursekeel/gateway/_gauges.py
@@ -17,11 +17,11 @@
     group: Group,
     router: Router,
     site: KnownSite,
-    hold: StartHold,
+    start_hold: StartHold,
     dispatcher: Dispatcher,
-    followed: FollowTask,
+    configuration_task: FollowTask,
 ) -> None:
-    """Add the gauges; ``followed`` is the task that follows the configuration."""
+    """Add the gauges; ``configuration_task`` follows the configuration."""
     gauge = metrics.gauge
     gauge(
         "coursekeel_store_reads",
@@ -41,7 +41,7 @@
     gauge(
         "coursekeel_store_restores",
         "Times that the store came back from an older copy",
-        lambda: followed.restores,
+        lambda: configuration_task.restores,
     )
     gauge(
         "coursekeel_members",
@@ -72,7 +72,7 @@
     gauge(
         "coursekeel_held_requests",
         "Requests that wait for the first routes and endpoints",
-        lambda: len(hold),
+        lambda: len(start_hold),
     )
     gauge(
         "coursekeel_open_requests",
--- a/src/coursekeel/gateway/_http.py
+++ b/src/coursekeel/gateway/_http.py
@@ -82,11 +82,11 @@
     def __len__(self) -> int:
         return len(self._channels)
 
-    def opened(self, channel: "_CallerChannel") -> None:
+    def add(self, channel: "_CallerChannel") -> None:
         """Add a connection that was opened."""
         self._channels.add(channel)
 
-    def closed(self, channel: "_CallerChannel") -> None:
+    def remove(self, channel: "_CallerChannel") -> None:
         """Remove a connection that was closed."""
         self._channels.discard(channel)
 
@@ -105,11 +105,11 @@
 
     def connectionMade(self) -> None:
         self.totalHeadersSize = self.limits().header_bytes
-        self.connections.opened(self)
+        self.connections.add(self)
         super().connectionMade()
 
     def connectionLost(self, reason: Any = connectionDone) -> None:
-        self.connections.closed(self)
+        self.connections.remove(self)
         super().connectionLost(reason)
 
 
@@ -122,21 +122,21 @@
 
     ``limits`` is called for each connection and body, since the limits can change.
     """
-    kept = {"limits": staticmethod(limits), "take": staticmethod(take)}
-    request = type("TakenRequest", (CallerRequest,), kept)
-    channel = type(
+    attributes = {"limits": staticmethod(limits), "take": staticmethod(take)}
+    request_class = type("TakenRequest", (CallerRequest,), attributes)
+    channel_class = type(
         "TakenChannel",
         (_CallerChannel,),
         {
             "limits": staticmethod(limits),
-            "requestFactory": request,
+            "requestFactory": request_class,
             "connections": connections,
         },
     )
-    site: Any = HTTPFactory(timeout=limits().idle_timeout_ms / 1000)
-    site.protocol = channel
-    site.log = lambda _: None
-    return site
+    factory: Any = HTTPFactory(timeout=limits().idle_timeout_ms / 1000)
+    factory.protocol = channel_class
+    factory.log = lambda _: None
+    return factory
 
 
 @frozen
@@ -156,10 +156,10 @@
     request.finish()
 
 
-def status_server(answer: Callable[[str], StatusPage]) -> Any:
-    """A server of status pages; ``answer`` returns the page for a path."""
+def status_server(page_for_path: Callable[[str], StatusPage]) -> Any:
+    """A server of status pages; ``page_for_path`` returns the page for a path."""
 
-    def take(request: CallerRequest) -> None:
-        send_page(request, answer(request.path_name()))
+    def respond(request: CallerRequest) -> None:
+        send_page(request, page_for_path(request.path_name()))
 
-    return caller_server(take, RequestLimits, OpenConnections())
+    return caller_server(respond, RequestLimits, OpenConnections())
--- a/src/coursekeel/gateway/_live_settings.py
+++ b/src/coursekeel/gateway/_live_settings.py
@@ -34,16 +34,16 @@
         and window that they were created with.
         """
         try:
-            fresh = read()
-        except SettingsInvalid as fault:
-            log_event("reload_refused", logging.ERROR, error=fault)
+            new = read()
+        except SettingsInvalid as invalid:
+            log_event("reload_refused", logging.ERROR, error=invalid)
             return
-        if _fixed(fresh) != _fixed(self.now):
+        if _restart_settings(new) != _restart_settings(self.now):
             log_event("reload_needs_restart", logging.WARNING)
-        self.now = evolve(self.now, timers=fresh.timers, retries=fresh.retries)
+        self.now = evolve(self.now, timers=new.timers, retries=new.retries)
         log_event("reloaded")
 
 
-def _fixed(settings: GatewaySettings) -> tuple[object, ...]:
+def _restart_settings(settings: GatewaySettings) -> tuple[object, ...]:
     """The settings that need a restart."""
     return settings.instance_id, settings.zone, settings.listen, settings.store
--- a/src/coursekeel/gateway/_metrics.py
+++ b/src/coursekeel/gateway/_metrics.py
@@ -23,8 +23,8 @@
 
 # Bounds on the label sets of the request counter and of each histogram, so that the
 # number of series doesn't grow with every route that was ever configured.
-_MAX_COUNTED_SETS = 200
-_MAX_TIMED_SETS = 64
+_MAX_COUNTER_LABEL_SETS = 200
+_MAX_HISTOGRAM_LABEL_SETS = 64
 
 
 @frozen
@@ -52,10 +52,12 @@
     clock: Clock
     belief: Callable[[], Belief] = Belief
     metrics: Metrics = field(factory=Metrics)
-    _counted: LabelSets = field(
-        factory=lambda: LabelSets(_MAX_COUNTED_SETS, kept=("outcome",))
+    _counter_label_sets: LabelSets = field(
+        factory=lambda: LabelSets(_MAX_COUNTER_LABEL_SETS, kept=("outcome",))
+    )
+    _histogram_label_sets: LabelSets = field(
+        factory=lambda: LabelSets(_MAX_HISTOGRAM_LABEL_SETS)
     )
-    _timed: LabelSets = field(factory=lambda: LabelSets(_MAX_TIMED_SETS))
 
     def ended(
         self,
@@ -72,8 +74,8 @@
         time of a stream's first event; ``ways`` are how the runs of a stream started.
         """
         now_ms = self.clock.now_ms()
-        self._count(call.team_name, call.route.name, code)
-        self._time(call, first_ms, now_ms)
+        self._count_request(call.team_name, call.route.name, code)
+        self._observe_duration(call, first_ms, now_ms)
         fields: dict[str, Any] = {
             "request": call.caller.request_id,
             "route": call.route.name,
@@ -92,28 +94,30 @@
             fields["fingerprint"] = call.fingerprint
         log_event("request_ended", **fields)
 
-    def _time(
+    def _observe_duration(
         self, call: AdmittedRequest, first_ms: float | None, now_ms: float
     ) -> None:
         """Time a stream up to its first event, any other request up to its end."""
-        timed = self._times(call)
+        labels = self._histogram_labels(call)
         if first_ms is not None:
             first_s = (first_ms - call.arrived_ms) / MS_PER_SECOND
-            self.metrics.first_token_s.observe(timed, first_s)
+            self.metrics.first_token_s.observe(labels, first_s)
         else:
-            taken_s = (now_ms - call.arrived_ms) / MS_PER_SECOND
-            self.metrics.call_s.observe(timed, taken_s)
+            duration_s = (now_ms - call.arrived_ms) / MS_PER_SECOND
+            self.metrics.call_s.observe(labels, duration_s)
 
-    def _count(self, team: str, request_class: str, code: str) -> None:
+    def _count_request(self, team: str, request_class: str, code: str) -> None:
         labels = {"team": team, "class": request_class, "outcome": code}
-        self.metrics.requests.inc(self._counted.of(labels))
+        self.metrics.requests.inc(self._counter_label_sets.of(labels))
 
-    def _times(self, call: AdmittedRequest) -> dict[str, str]:
-        return self._timed.of({"team": call.team_name, "class": call.route.name})
+    def _histogram_labels(self, call: AdmittedRequest) -> dict[str, str]:
+        return self._histogram_label_sets.of(
+            {"team": call.team_name, "class": call.route.name}
+        )
 
     def barred(self, call: AdmittedRequest, barred_ms: float) -> None:
         """Record a request refused for ``barred_ms``: it crashed endpoints before."""
-        self._count(call.team_name, call.route.name, STOPS_ENDPOINTS)
+        self._count_request(call.team_name, call.route.name, STOPS_ENDPOINTS)
         log_event(
             "request_refused",
             request=call.caller.request_id,
@@ -127,7 +131,7 @@
         self, request_id: str, refusal: GatewayRefusal, routes_age_ms: float
     ) -> None:
         """Record a request that wasn't admitted, and the age of routes and keys."""
-        self._count("", "", refusal.code)
+        self._count_request("", "", refusal.code)
         log_event(
             "request_refused",
             request=request_id,
@@ -216,7 +220,9 @@
 
     def resumed(self, call: AdmittedRequest, way: str, waited_ms: float) -> None:
         """Record that an answer resumed, ``waited_ms`` after the loss of its run."""
-        self.metrics.resume_s.observe(self._times(call), waited_ms / MS_PER_SECOND)
+        self.metrics.resume_s.observe(
+            self._histogram_labels(call), waited_ms / MS_PER_SECOND
+        )
         log_event(
             "run_resumed",
             request=call.caller.request_id,
--- a/src/coursekeel/gateway/_request.py
+++ b/src/coursekeel/gateway/_request.py
@@ -14,7 +14,7 @@
 __all__ = ["AdmittedRequest"]
 
 # Greater than any route's rank, so that the team's rank has precedence.
-_ROUTE_RANKS = 100
+_TEAM_RANK_FACTOR = 100
 
 
 @frozen
@@ -49,10 +49,10 @@
     def rank(self) -> int:
         """The priority among queued requests; 0 is served first."""
         team_rank = self.team.rank if self.team else 0
-        return team_rank * _ROUTE_RANKS + self.route.rank
+        return team_rank * _TEAM_RANK_FACTOR + self.route.rank
 
     @cached_property
     def fingerprint(self) -> str:
         """Hash of team and content; equal for a repeat with another id."""
-        asked = (self.method, self.host.encode(), self.target, self.body)
-        return request_fingerprint(self.team_name, *asked)
+        content = (self.method, self.host.encode(), self.target, self.body)
+        return request_fingerprint(self.team_name, *content)
--- a/src/coursekeel/gateway/_retry_budgets.py
+++ b/src/coursekeel/gateway/_retry_budgets.py
@@ -13,7 +13,7 @@
   since both halves of a partitioned group spend. A tenth of the part refills over a
   window; the rest is a reserve. The reserve is empty until the process has run for a
   window, since many instances may restart at once after spending their parts. An
-  instance without an address for peers divides by `_PLANNED_INSTANCES` and has its
+  instance without an address for peers divides by `_DEFAULT_INSTANCES` and has its
   reserve at once.
 
 A fraction of a retry is allowed at random; a part of the slack covers the variance.
@@ -35,14 +35,14 @@
 from coursekeel.settings import RetryShare
 from coursekeel.units import MS_PER_SECOND
 
-__all__ = ["RetryBudgets", "SendAccount", "fit_budget", "shared_budget"]
+__all__ = ["RetryBudgets", "SendAccount", "instance_budget", "resize_budget"]
 
 # For an instance without an address for peers; more than a small site has.
-_PLANNED_INSTANCES = 14
+_DEFAULT_INSTANCES = 14
 
 # For an instance that has found no members yet, while the others divide all of the
 # slack among themselves.
-_UNKNOWN_INSTANCES = 50
+_INSTANCES_BEFORE_DISCOVERY = 50
 
 # Share of an instance's part that refills over the window; the rest is its reserve. A
 # small share lets a single instance send more retries at once.
@@ -50,13 +50,13 @@
 
 # Share of the ratio that a request earns at its instance. At most half, since earnings
 # of two windows may be spent in one; less, to cover the variance of random retries.
-_OWN_SHARE = 0.45
+_EARNED_SHARE = 0.45
 
 # Retries kept back from the slack, times the square root of the number of instances:
 # four standard deviations of one random draw at even odds by each instance. At most
 # this share of the slack.
-_LUCK = 2.0
-_MOST_LUCK_SHARE = 0.5
+_VARIANCE_FACTOR = 2.0
+_MAX_VARIANCE_SHARE = 0.5
 
 
 @define
@@ -71,41 +71,41 @@
     members: Callable[[], int | None]
     random: Random
     clock: Clock
-    _saves_from_ms: float = field(init=False)
-    _saves: bool = False
+    _reserve_from_ms: float = field(init=False)
+    _has_reserve: bool = False
     _by_pool: dict[str, WindowBudget] = field(factory=dict)
-    _shared_by: int = 0
+    _last_instance_count: int = 0
 
     def __attrs_post_init__(self) -> None:
         window_ms = self.settings.now.retries.window_s * MS_PER_SECOND
-        self._saves_from_ms = self.clock.now_ms() + window_ms
+        self._reserve_from_ms = self.clock.now_ms() + window_ms
 
     def of(self, pool: str) -> WindowBudget:
         """The budget of retries that this instance may send to a pool."""
         members = self.members()
-        instances = _instances(members)
-        if not self._saves:
-            self._begin_to_save(members)
-        if instances != self._shared_by:
-            self._shared_by = instances
-            for each in self._by_pool.values():
-                fit_budget(each, self.settings.now.retries, instances)
+        instances = _instance_count(members)
+        if not self._has_reserve:
+            self._fill_reserves_when_due(members)
+        if instances != self._last_instance_count:
+            self._last_instance_count = instances
+            for existing in self._by_pool.values():
+                resize_budget(existing, self.settings.now.retries, instances)
         budget = self._by_pool.get(pool)
         if budget is None:
             share = self.settings.now.retries
-            budget = shared_budget(share, self.random, instances)
-            if not self._saves:
+            budget = instance_budget(share, self.random, instances)
+            if not self._has_reserve:
                 budget.saved = 0.0
             self._by_pool[pool] = budget
         return budget
 
-    def _begin_to_save(self, members: int | None) -> None:
+    def _fill_reserves_when_due(self, members: int | None) -> None:
         """Fill the reserves once this process has run for a window."""
-        alone = members is None
-        self._saves = alone or self.clock.now_ms() >= self._saves_from_ms
-        if self._saves:
-            for each in self._by_pool.values():
-                each.saved = each.most
+        has_no_peers = members is None
+        self._has_reserve = has_no_peers or self.clock.now_ms() >= self._reserve_from_ms
+        if self._has_reserve:
+            for budget in self._by_pool.values():
+                budget.saved = budget.most
 
 
 @define
@@ -113,56 +113,58 @@
     """Counts the sends of one request and takes its retries from ``budget``."""
 
     budget: WindowBudget
-    _arrivals: int = 0
+    _sends: int = 0
 
     def may_send(self, now_ms: float) -> bool:
         """Whether the request may be sent (again); if so, the send is counted."""
-        if self._arrivals and not self.budget.take(now_ms):
+        if self._sends and not self.budget.take(now_ms):
             return False
-        self._arrivals += 1
+        self._sends += 1
         return True
 
     def not_sent(self) -> None:
         """Return the cost of the last send, which reached no endpoint."""
-        self._arrivals -= 1
-        if self._arrivals:
+        self._sends -= 1
+        if self._sends:
             self.budget.give_back()
 
 
-def _instances(members: int | None) -> int:
+def _instance_count(members: int | None) -> int:
     if members is None:
-        return _PLANNED_INSTANCES
+        return _DEFAULT_INSTANCES
     if members <= 1:
-        return _UNKNOWN_INSTANCES
+        return _INSTANCES_BEFORE_DISCOVERY
     return members
 
 
-def shared_budget(
-    share: RetryShare, random: Random, instances: int = _PLANNED_INSTANCES
+def instance_budget(
+    share: RetryShare, random: Random, instances: int = _DEFAULT_INSTANCES
 ) -> WindowBudget:
     """One instance's part of a budget that all instances share.
 
-    The reserve starts at the part of one of `_PLANNED_INSTANCES` at most, and refills
+    The reserve starts at the part of one of `_DEFAULT_INSTANCES` at most, and refills
     from there.
     """
     budget = WindowBudget(
-        _OWN_SHARE * share.ratio, share.window_s * MS_PER_SECOND, random
+        _EARNED_SHARE * share.ratio, share.window_s * MS_PER_SECOND, random
     )
-    fit_budget(budget, share, instances)
-    budget.saved = min(budget.most, _saved(share, _PLANNED_INSTANCES))
+    resize_budget(budget, share, instances)
+    budget.saved = min(budget.most, _max_reserve(share, _DEFAULT_INSTANCES))
     return budget
 
 
-def fit_budget(budget: WindowBudget, share: RetryShare, instances: int) -> None:
+def resize_budget(budget: WindowBudget, share: RetryShare, instances: int) -> None:
     """Set a budget's part for a number of instances; savings above it are dropped."""
-    refill_per_s = _REFILLED_SHARE * _part(share, instances) / share.window_s
-    budget.fit(_saved(share, instances), refill_per_s)
+    refill_per_s = _REFILLED_SHARE * _slack_part(share, instances) / share.window_s
+    budget.fit(_max_reserve(share, instances), refill_per_s)
 
 
-def _saved(share: RetryShare, instances: int) -> float:
-    return (1 - _REFILLED_SHARE) * _part(share, instances)
+def _max_reserve(share: RetryShare, instances: int) -> float:
+    return (1 - _REFILLED_SHARE) * _slack_part(share, instances)
 
 
-def _part(share: RetryShare, instances: int) -> float:
-    luck = min(_LUCK * sqrt(instances), _MOST_LUCK_SHARE * share.slack)
-    return (share.slack - luck) / instances
+def _slack_part(share: RetryShare, instances: int) -> float:
+    kept_back = min(
+        _VARIANCE_FACTOR * sqrt(instances), _MAX_VARIANCE_SHARE * share.slack
+    )
+    return (share.slack - kept_back) / instances
--- a/src/coursekeel/runtime/_answer_driver.py
+++ b/src/coursekeel/runtime/_answer_driver.py
@@ -21,7 +21,7 @@
 
 # Interval of the timer while reading is paused. The caller has unsent output then, so
 # nothing waits for this timer.
-_HELD_LOOK_MS = 500.0
+_PAUSED_CHECK_INTERVAL_MS = 500.0
 
 
 class AnswerShell(ABC):
@@ -58,7 +58,7 @@
     reading_held: bool = False
     silence_counts: Callable[[], bool] = _always
     _events: deque[Event] = field(factory=deque)
-    _busy: bool = False
+    _is_handling: bool = False
     _alarm: Any = None
 
     def tell(self, event: Event, now_ms: float | None = None) -> None:
@@ -67,18 +67,18 @@
         ``now_ms`` is the event's time if the caller has just read the clock.
         """
         self._events.append(event)
-        if self._busy:
+        if self._is_handling:
             return
-        self._busy = True
+        self._is_handling = True
         try:
             while self._events:
                 at_ms = self.clock.now_ms() if now_ms is None else now_ms
                 now_ms = None
-                self._take(self._events.popleft(), at_ms)
+                self._handle_now(self._events.popleft(), at_ms)
         finally:
-            self._busy = False
+            self._is_handling = False
 
-    def _take(self, event: Event, now_ms: float) -> None:
+    def _handle_now(self, event: Event, now_ms: float) -> None:
         actions = self.core.handle(event, now_ms)
         for action in actions:
             if isinstance(action, SetAlarm):
@@ -102,14 +102,14 @@
         now_ms = self.clock.now_ms()
         due_ms = max(at_ms, now_ms)
         wait_s = (due_ms - now_ms) / MS_PER_SECOND
-        self._alarm = self.reactor.callLater(wait_s, self._ring, due_ms)
+        self._alarm = self.reactor.callLater(wait_s, self._on_alarm, due_ms)
 
-    def _ring(self, due_ms: float) -> None:
+    def _on_alarm(self, due_ms: float) -> None:
         if self.core.ended:
             return
         now_ms = self.clock.now_ms()
         if self.reading_held:
-            self._set_alarm(now_ms + _HELD_LOOK_MS)
+            self._set_alarm(now_ms + _PAUSED_CHECK_INTERVAL_MS)
         elif now_ms - due_ms > self.own_pause_ms:
             self.tell(ReadingResumed())
         else:
--- a/src/coursekeel/runtime/_periodic.py
+++ b/src/coursekeel/runtime/_periodic.py
@@ -20,15 +20,15 @@
     A broken invariant stops the reactor.
     """
 
-    def failed(failure: Any) -> None:
-        trace = failure.getTraceback()
-        log_event("task_failed", logging.ERROR, task=name, error=trace)
+    def on_failure(failure: Any) -> None:
+        traceback = failure.getTraceback()
+        log_event("task_failed", logging.ERROR, task=name, error=traceback)
         if failure.check(InvariantBroken):
             reactor.callWhenRunning(reactor.stop)
 
-    started: Deferred[None] = ensureDeferred(work)
-    started.addErrback(failed)
-    return started
+    result: Deferred[None] = ensureDeferred(work)
+    result.addErrback(on_failure)
+    return result
 
 
 @define(eq=False)
@@ -40,7 +40,7 @@
     interval_ms: float
     work: Callable[[], Awaitable[None]]
     _running: bool = False
-    _again: bool = False
+    _rerun: bool = False
     _stopped: bool = True
     _timer: Any = field(default=None)
 
@@ -58,17 +58,17 @@
     def now(self) -> None:
         """Run at once, or directly after the run in progress."""
         if self._running:
-            self._again = True
+            self._rerun = True
             return
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._running = True
-        spawn(self.work(), self.name, self.reactor).addCallback(self._done)
+        spawn(self.work(), self.name, self.reactor).addCallback(self._on_run_end)
 
-    def _done(self, _: object) -> None:
+    def _on_run_end(self, _: object) -> None:
         self._running = False
         if self._stopped:
             return
-        delay_s = 0.0 if self._again else self.interval_ms / 1000
-        self._again = False
+        delay_s = 0.0 if self._rerun else self.interval_ms / 1000
+        self._rerun = False
         self._timer = self.reactor.callLater(delay_s, self.now)
--- a/src/coursekeel/runtime/_process.py
+++ b/src/coursekeel/runtime/_process.py
@@ -17,12 +17,12 @@
 
 __all__ = ["Role", "install_reactor", "run_role"]
 
-EXIT_BROKEN = 70  # EX_SOFTWARE of sysexits.h
+EXIT_INVARIANT_BROKEN = 70  # EX_SOFTWARE of sysexits.h
 # Threshold of the garbage collector's youngest generation. Far above Python's default,
 # since reference counting frees most objects.
-_COLLECT_AFTER = 20_000
+_GC_THRESHOLD = 20_000
 # Interval at which buffered log lines are written again and suspensions are detected.
-_UPKEEP_MS = 500
+_UPKEEP_INTERVAL_MS = 500
 
 
 class Role(ABC):
@@ -50,16 +50,16 @@
     """
 
     reactor: Reactor
-    broken: bool = False
+    invariant_broken: bool = False
 
     def __call__(self, event: dict[str, Any]) -> None:
         failure = event.get("log_failure")
         if failure is None:
             return
-        trace = failure.getTraceback()
-        log_event("unhandled_failure", logging.ERROR, error=trace)
-        if failure.check(InvariantBroken) and not self.broken:
-            self.broken = True
+        traceback = failure.getTraceback()
+        log_event("unhandled_failure", logging.ERROR, error=traceback)
+        if failure.check(InvariantBroken) and not self.invariant_broken:
+            self.invariant_broken = True
             self.reactor.callFromThread(self.reactor.stop)
 
 
@@ -83,7 +83,7 @@
     watch: Any = _FailureWatch(reactor)
     globalLogBeginner.beginLoggingTo([watch], redirectStandardIO=False)
 
-    async def end() -> None:
+    async def stop_role() -> None:
         await role.stop()
         reactor.stop()
 
@@ -92,36 +92,36 @@
         if number == signal.SIGHUP:
             reactor.callFromThread(role.reload)
         else:
-            reactor.callFromThread(lambda: spawn(end(), "stop", reactor))
+            reactor.callFromThread(lambda: spawn(stop_role(), "stop", reactor))
 
-    def listen() -> None:
+    def install_signal_handlers() -> None:
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, on_signal)
 
-    reactor.callWhenRunning(_upkeep(reactor).start)
+    reactor.callWhenRunning(_upkeep_task(reactor).start)
     reactor.callWhenRunning(lambda: spawn(role.start(), "start", reactor))
-    reactor.callWhenRunning(listen)
-    _collect_seldom()
+    reactor.callWhenRunning(install_signal_handlers)
+    _configure_garbage_collector()
     reactor.run()
-    return EXIT_BROKEN if watch.broken else 0
+    return EXIT_INVARIANT_BROKEN if watch.invariant_broken else 0
 
 
-def _upkeep(reactor: Reactor) -> Periodic:
+def _upkeep_task(reactor: Reactor) -> Periodic:
     """The periodic task that flushes buffered log lines and logs suspensions."""
     clock = Clock()
     watch = SuspensionWatch(clock.suspended_ms())
 
-    async def look() -> None:
-        suspended_ms = watch.look(clock.suspended_ms())
+    async def run_upkeep() -> None:
+        suspended_ms = watch.check(clock.suspended_ms())
         if suspended_ms:
             log_event("suspended", logging.WARNING, for_ms=round(suspended_ms))
         flush_logs()
 
-    return Periodic(reactor, "upkeep", _UPKEEP_MS, look)
+    return Periodic(reactor, "upkeep", _UPKEEP_INTERVAL_MS, run_upkeep)
 
 
-def _collect_seldom() -> None:
+def _configure_garbage_collector() -> None:
     """Freeze the objects that exist at start, and run the garbage collector rarely."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(_COLLECT_AFTER, 10, 10)
+    gc.set_threshold(_GC_THRESHOLD, 10, 10)
--- a/src/coursekeel/runtime/_routing_task.py
+++ b/src/coursekeel/runtime/_routing_task.py
@@ -17,7 +17,7 @@
 
 # Interval at which waiting requests are reviewed if nothing else happens, so that those
 # past their deadline are refused.
-_REVIEW_MS = 50
+_REVIEW_INTERVAL_MS = 50
 
 
 @define(eq=False)
@@ -27,7 +27,7 @@
     reactor: Reactor
     clock: Clock
     router: Router
-    _waiting: dict[int, Callable[[Decision], None]] = field(factory=dict)
+    _callbacks: dict[int, Callable[[Decision], None]] = field(factory=dict)
     _last_number: int = 0
     _timer: Any = None
 
@@ -40,43 +40,45 @@
         """
         self._last_number += 1
         number = self._last_number
-        self._waiting[number] = decided
+        self._callbacks[number] = decided
         numbered = evolve(request, number=number)
-        self._tell(self.router.place(numbered, self.clock.now_ms()))
-        self._review_later()
+        self._deliver(self.router.place(numbered, self.clock.now_ms()))
+        self._schedule_review()
         return number
 
     def withdraw(self, number: int) -> None:
         """Remove a request that no longer needs an endpoint."""
-        if self._waiting.pop(number, None) is not None:
+        if self._callbacks.pop(number, None) is not None:
             self.router.withdraw(number)
 
     def released(self, endpoint_id: str, run_ms: float, failed: bool = False) -> None:
         """Free a granted place after a run of ``run_ms``, which may have ``failed``."""
         now_ms = self.clock.now_ms()
-        self._tell(self.router.released(endpoint_id, run_ms, now_ms, failed))
+        self._deliver(self.router.released(endpoint_id, run_ms, now_ms, failed))
 
     def returned(self, endpoint_id: str, prompt_tokens: int) -> None:
         """Free a granted place to which nothing was sent."""
         now_ms = self.clock.now_ms()
-        self._tell(self.router.returned(endpoint_id, prompt_tokens, now_ms))
+        self._deliver(self.router.returned(endpoint_id, prompt_tokens, now_ms))
 
     def reported(self, report: LoadReport) -> None:
         """Apply an endpoint's load report."""
-        self._tell(self.router.reported(report, self.clock.now_ms()))
+        self._deliver(self.router.reported(report, self.clock.now_ms()))
 
     def review(self) -> None:
         """Review waiting requests, for example after the endpoints have changed."""
         self._timer = None
-        self._tell(self.router.review(self.clock.now_ms()))
-        self._review_later()
+        self._deliver(self.router.review(self.clock.now_ms()))
+        self._schedule_review()
 
-    def _review_later(self) -> None:
-        if self._timer is None and self._waiting:
-            self._timer = self.reactor.callLater(_REVIEW_MS / 1000, self.review)
+    def _schedule_review(self) -> None:
+        if self._timer is None and self._callbacks:
+            self._timer = self.reactor.callLater(
+                _REVIEW_INTERVAL_MS / 1000, self.review
+            )
 
-    def _tell(self, decisions: Iterable[Decision]) -> None:
+    def _deliver(self, decisions: Iterable[Decision]) -> None:
         for decision in decisions:
-            decided = self._waiting.pop(decision.number, None)
-            if decided is not None:
-                decided(decision)
+            callback = self._callbacks.pop(decision.number, None)
+            if callback is not None:
+                callback(decision)
--- a/src/coursekeel/runtime/_suspension.py
+++ b/src/coursekeel/runtime/_suspension.py
@@ -9,17 +9,17 @@
 __all__ = ["SuspensionWatch"]
 
 # The two clocks are read one after the other, and the process may be paused in between.
-_LEAST_MS = 50.0
+_MIN_SUSPENSION_MS = 50.0
 
 
 @define
 class SuspensionWatch:
     """Compares the total suspended time with that of the previous check."""
 
-    suspended_ms: float
+    last_total_ms: float
 
-    def look(self, suspended_ms: float) -> float:
+    def check(self, total_ms: float) -> float:
         """Return the suspended time since the previous check, 0 if there was none."""
-        since_ms = suspended_ms - self.suspended_ms
-        self.suspended_ms = suspended_ms
-        return since_ms if since_ms >= _LEAST_MS else 0.0
+        suspended_ms = total_ms - self.last_total_ms
+        self.last_total_ms = total_ms
+        return suspended_ms if suspended_ms >= _MIN_SUSPENSION_MS else 0.0
--- a/tests/cover/test_shared_budget.py
+++ b/tests/cover/test_shared_budget.py
@@ -10,7 +10,7 @@
 from coursekeel.gateway._retry_budgets import (
     RetryBudgets,
     SendAccount,
-    shared_budget,
+    instance_budget,
 )
 from coursekeel.routing import WindowBudget
 from coursekeel.settings import RetryShare
@@ -35,7 +35,7 @@
 )
 def test_no_window_has_more_repeats_than_the_bound(instances, quiet, load):
     """Everything fails at once, and every instance repeats whatever it may."""
-    budgets = [shared_budget(SHARE, Random(each)) for each in range(instances)]
+    budgets = [instance_budget(SHARE, Random(each)) for each in range(instances)]
     requests: list[int] = []
     repeats: list[int] = []
     for step, count in enumerate([0] * quiet + load):
@@ -52,7 +52,7 @@
 
 
 def test_an_instance_can_repeat_a_few_even_when_it_has_served_nothing():
-    budget = shared_budget(SHARE, Random(1))
+    budget = instance_budget(SHARE, Random(1))
     taken = 0
     while budget.take(0.0):
         taken += 1
@@ -119,7 +119,7 @@
     large, small = Member(74), Member(6)
     assert large.budget.most * 74 <= SHARE.slack
     assert small.budget.most * 6 <= SHARE.slack
-    assert small.budget.most > shared_budget(SHARE, Random(1)).most
+    assert small.budget.most > instance_budget(SHARE, Random(1)).most
 
 
 class Fleet:
--- a/tests/cover/test_slowdown_machine.py
+++ b/tests/cover/test_slowdown_machine.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from coursekeel.forwarding import EndpointDirectory, EndpointRecord
-from coursekeel.gateway._retry_budgets import shared_budget
+from coursekeel.gateway._retry_budgets import instance_budget
 from coursekeel.routing import Grant, PlacementRequest, Refuse, Router
 from coursekeel.settings import RetryShare
 from tests.common.moments import at
@@ -26,7 +26,9 @@
     def begin(self, seed: int) -> None:
         self.now_ms = 0.0
         self.random = Random(seed)
-        self.budgets = [shared_budget(SHARE, Random(each)) for each in range(INSTANCES)]
+        self.budgets = [
+            instance_budget(SHARE, Random(each)) for each in range(INSTANCES)
+        ]
         self.requests: list[float] = []
         self.repeats: list[float] = []
         self.directory = EndpointDirectory()
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -6,11 +6,11 @@
 
 def test_only_what_was_added_since_the_last_look_is_told():
     watch = SuspensionWatch(1_000.0)
-    assert watch.look(1_000.4) == 0.0
-    assert watch.look(4_000.4) == 3_000.0
-    assert watch.look(4_000.9) == 0.0
+    assert watch.check(1_000.4) == 0.0
+    assert watch.check(4_000.4) == 3_000.0
+    assert watch.check(4_000.9) == 0.0
 
 
 def test_the_time_between_two_readings_of_the_clocks_is_no_suspension():
     watch = SuspensionWatch(Clock().suspended_ms())
-    assert all(watch.look(Clock().suspended_ms()) == 0.0 for _ in range(1_000))
+    assert all(watch.check(Clock().suspended_ms()) == 0.0 for _ in range(1_000))
