--- a/src/coursekeel/gateway/_gauges.py
+++ b/src/coursekeel/gateway/_gauges.py
@@ -30,35 +30,39 @@
     )
     gauge(
         "coursekeel_member_reads",
-        "Readings that members of the group gave so far",
+        "Responses with table data received from other members so far",
         lambda: group.source.relayed,
     )
     gauge(
         "coursekeel_answers_cut",
-        "Answers of the store or a member given up while they were coming",
+        "Responses of the store or a member abandoned during the transfer",
         lambda: group.source.answers_cut,
     )
     gauge(
         "coursekeel_store_restores",
-        "Times that the store came back from an older copy",
+        "Times that the store was restored from an older copy",
         lambda: configuration_task.restores,
     )
     gauge(
         "coursekeel_members",
-        "Members of the group that nothing speaks against",
+        "Members of the group that are alive and not suspected",
         lambda: len(group.swim.alive()),
     )
     gauge(
         "coursekeel_suspect_requests",
-        "Requests that are remembered because endpoints ended under them",
+        "Requests recorded as suspects after crashes of endpoints",
         lambda: len(group.quarantine),
     )
     gauge(
         "coursekeel_barred_requests",
-        "Requests that are barred because they end endpoints",
+        "Requests that are barred because they crash endpoints",
         lambda: group.quarantine.barred,
     )
-    gauge("coursekeel_waiting", "Requests that wait", lambda: router.waiting)
+    gauge(
+        "coursekeel_waiting",
+        "Requests that wait for an endpoint",
+        lambda: router.waiting,
+    )
     gauge(
         "coursekeel_refused",
         "Requests refused so far",
@@ -66,16 +70,16 @@
     )
     gauge(
         "coursekeel_belief_age_seconds",
-        "Age of what is known of routes and keys",
+        "Age of the cached routes and keys since their last confirmation",
         lambda: site.routes_age_ms / MS_PER_SECOND,
     )
     gauge(
         "coursekeel_held_requests",
-        "Requests that wait for the first routes and endpoints",
+        "Requests that wait for the first read of routes and endpoints",
         lambda: len(start_hold),
     )
     gauge(
         "coursekeel_open_requests",
-        "Requests at work",
+        "Requests in progress",
         lambda: dispatcher.open_requests,
     )
