--- a/tests/cover/test_shared_budget.py
+++ b/tests/cover/test_shared_budget.py
@@ -1,4 +1,4 @@
-"""Instances keep a bound on repeats that holds for all of them, known or not."""
+"""Retries of all instances together stay within the shared retry budget."""
 
 from random import Random
 from unittest.mock import Mock
@@ -20,11 +20,11 @@
 STEPS_A_WINDOW = 40
 
 
-def assert_every_window_keeps_the_bound(requests: list[int], repeats: list[int]):
-    for end in range(1, len(repeats) + 1):
+def assert_no_window_exceeds_the_budget(requests: list[int], retries: list[int]):
+    for end in range(1, len(retries) + 1):
         window = slice(max(0, end - STEPS_A_WINDOW), end)
         bound = SHARE.ratio * sum(requests[window]) + SHARE.slack
-        assert sum(repeats[window]) <= bound
+        assert sum(retries[window]) <= bound
 
 
 @settings(max_examples=60)
@@ -33,11 +33,11 @@
     quiet=st.integers(0, 60),
     load=st.lists(st.integers(0, 12), min_size=8, max_size=60),
 )
-def test_no_window_has_more_repeats_than_the_bound(instances, quiet, load):
-    """Everything fails at once, and every instance repeats whatever it may."""
-    budgets = [instance_budget(SHARE, Random(each)) for each in range(instances)]
+def test_no_window_exceeds_the_budget(instances, quiet, load):
+    """All requests fail, and every instance sends all the retries it may."""
+    budgets = [instance_budget(SHARE, Random(seed)) for seed in range(instances)]
     requests: list[int] = []
-    repeats: list[int] = []
+    retries: list[int] = []
     for step, count in enumerate([0] * quiet + load):
         now_ms = float(step * STEP_MS)
         sent = 0
@@ -47,11 +47,11 @@
             while budget.take(now_ms):
                 sent += 1
         requests.append(count)
-        repeats.append(sent)
-    assert_every_window_keeps_the_bound(requests, repeats)
+        retries.append(sent)
+    assert_no_window_exceeds_the_budget(requests, retries)
 
 
-def test_an_instance_can_repeat_a_few_even_when_it_has_served_nothing():
+def test_an_instance_without_requests_can_send_a_few_retries():
     budget = instance_budget(SHARE, Random(1))
     taken = 0
     while budget.take(0.0):
@@ -61,7 +61,7 @@
 
 
 class Member:
-    """One instance, and how many it believes there are."""
+    """One instance; ``known`` is the number of members that it has found."""
 
     def __init__(self, known: int, seed: int = 0, up_ms: float = 10_000.0) -> None:
         self.known = known
@@ -87,35 +87,34 @@
     leaving=st.integers(0, 3),
     load=st.lists(st.integers(0, 12), min_size=8, max_size=60),
 )
-def test_the_bound_holds_while_members_join_leave_and_are_parted(
+def test_no_window_exceeds_the_budget_while_members_join_and_leave(
     members, joining, joins_at, leaving, load
 ):
-    """Those that begin know nobody for two seconds and are known to nobody. Whoever is
-    lost, or parted from the others, still counts, since it may be serving."""
-    group = [Member(members, each) for each in range(members)]
+    """A new member finds the others, and is found, two seconds after its start. Lost
+    members still count, since they may be serving on the other side of a partition."""
+    group = [Member(members, seed) for seed in range(members)]
     requests: list[int] = []
-    repeats: list[int] = []
+    retries: list[int] = []
     for step, count in enumerate([0] * 40 + load):
         if step == joins_at:
-            group += [Member(1, 1_000 + each, 0.0) for each in range(joining)]
+            group += [Member(1, 1_000 + seed, 0.0) for seed in range(joining)]
         if step == joins_at + 8:
-            for each in group:
-                each.known = members + joining
+            for member in group:
+                member.known = members + joining
         if step == joins_at + 20:
             del group[: min(leaving, members - 1)]
         sent = 0
         for index in range(count):
             group[index % len(group)].budget.requested(float(step * STEP_MS))
-        for each in group:
-            while each.budget.take(float(step * STEP_MS)):
+        for member in group:
+            while member.budget.take(float(step * STEP_MS)):
                 sent += 1
         requests.append(count)
-        repeats.append(sent)
-    assert_every_window_keeps_the_bound(requests, repeats)
+        retries.append(sent)
+    assert_no_window_exceeds_the_budget(requests, retries)
 
 
-def test_a_member_of_a_large_group_takes_a_small_part():
-    """Seen in the code: 74 instances took a fourteenth each, five times the slack."""
+def test_a_members_part_is_smaller_in_a_larger_group():
     large, small = Member(74), Member(6)
     assert large.budget.most * 74 <= SHARE.slack
     assert small.budget.most * 6 <= SHARE.slack
@@ -123,16 +122,16 @@
 
 
 class Fleet:
-    """A large group, in which every window's requests and repeats are counted."""
+    """A group of instances; counts the requests and retries of every step."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.random = Random(seed)
         self.members = [Member(size, self.random.random()) for _ in range(size)]
         self.requests: list[int] = []
-        self.repeats: list[int] = []
+        self.retries: list[int] = []
 
-    def play(self, arrivals: int, share_lost: float, tries: int = 4) -> None:
-        """One step: requests come by lot, and a share of them ask to be repeated."""
+    def run_step(self, arrivals: int, share_lost: float, tries: int = 4) -> None:
+        """Requests arrive at random members; a share of them ask for retries."""
         now_ms = float(len(self.requests) * STEP_MS)
         sent = 0
         for _ in range(arrivals):
@@ -142,14 +141,14 @@
                 for _ in range(tries):
                     sent += member.budget.take(now_ms)
         self.requests.append(arrivals)
-        self.repeats.append(sent)
+        self.retries.append(sent)
 
     def exhaust(self) -> None:
-        """Every instance repeats whatever it may."""
+        """Every instance sends all the retries it may."""
         now_ms = float(len(self.requests) * STEP_MS)
         for member in self.members:
             while member.budget.take(now_ms):
-                self.repeats[-1] += 1
+                self.retries[-1] += 1
 
 
 SIZES = [3, 9, 30, 74, 97, 195, 380]
@@ -157,97 +156,95 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("arrivals", [1, 4, 30, 200])
-def test_no_window_passes_the_bound_when_everything_fails(size, arrivals):
+def test_no_window_exceeds_the_budget_when_all_requests_fail(size, arrivals):
     fleet = Fleet(size, seed=size + arrivals)
     for _ in range(2 * STEPS_A_WINDOW):
-        fleet.play(arrivals, share_lost=0.0)
+        fleet.run_step(arrivals, share_lost=0.0)
     for _ in range(2 * STEPS_A_WINDOW):
-        fleet.play(arrivals, share_lost=1.0)
+        fleet.run_step(arrivals, share_lost=1.0)
     fleet.exhaust()
     for _ in range(STEPS_A_WINDOW):
-        fleet.play(0, share_lost=0.0)
+        fleet.run_step(0, share_lost=0.0)
         fleet.exhaust()
-    assert_every_window_keeps_a_bound_of_its_own_or_the_one_before(fleet)
+    assert_no_window_exceeds_the_larger_budget_of_two(fleet)
 
 
-def assert_every_window_keeps_a_bound_of_its_own_or_the_one_before(fleet: Fleet):
-    """A repeat may come a window after its request."""
-    for end in range(1, len(fleet.repeats) + 1):
+def assert_no_window_exceeds_the_larger_budget_of_two(fleet: Fleet):
+    """Compares with this window's requests or the previous one's: a retry may be sent
+    a window after the request that earned it."""
+    for end in range(1, len(fleet.retries) + 1):
         start = max(0, end - STEPS_A_WINDOW)
         before = max(0, start - STEPS_A_WINDOW)
         own = sum(fleet.requests[start:end])
         most = max(own, sum(fleet.requests[before:start]))
-        assert sum(fleet.repeats[start:end]) <= SHARE.ratio * most + SHARE.slack
+        assert sum(fleet.retries[start:end]) <= SHARE.ratio * most + SHARE.slack
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_no_window_passes_the_bound_when_half_of_a_group_begins_anew(size):
-    """Those that begin again find each other one by one, and all repeat what they may,
-    as their earlier lives and the others did a moment before."""
+def test_no_window_exceeds_the_budget_when_half_of_a_group_restarts(size):
+    """All budgets are spent at the restart. The restarted members find the others one
+    by one, and all send every retry they may."""
     fleet = Fleet(size, seed=size)
     for _ in range(STEPS_A_WINDOW):
-        fleet.play(4, share_lost=0.0)
+        fleet.run_step(4, share_lost=0.0)
     fleet.exhaust()
-    begun = [Member(1, 5_000 + each, 0.0) for each in range(size * 55 // 100)]
-    fleet.members[: len(begun)] = begun
+    restarted = [Member(1, 5_000 + seed, 0.0) for seed in range(size * 55 // 100)]
+    fleet.members[: len(restarted)] = restarted
     for step in range(STEPS_A_WINDOW):
-        for each in begun:
-            each.known = min(size, 1 + step * size // 8)
-        fleet.play(4, share_lost=1.0)
+        for member in restarted:
+            member.known = min(size, 1 + step * size // 8)
+        fleet.run_step(4, share_lost=1.0)
         fleet.exhaust()
-    assert_every_window_keeps_a_bound_of_its_own_or_the_one_before(fleet)
+    assert_no_window_exceeds_the_larger_budget_of_two(fleet)
 
 
 @pytest.mark.parametrize("quiet_steps", [0, 20, STEPS_A_WINDOW - 1])
 @pytest.mark.parametrize("size", SIZES)
-def test_no_window_passes_the_bound_when_all_begin_anew_and_know_each_other(
-    size, quiet_steps
-):
-    """All had spent their parts; their new lives find each other before the first
-    request that they repeat, some time after they began."""
+def test_no_window_exceeds_the_budget_when_all_members_restart(size, quiet_steps):
+    """All budgets are spent at the restart. The members find each other at once; the
+    first failures come some time later."""
     fleet = Fleet(size, seed=size)
     for _ in range(STEPS_A_WINDOW):
-        fleet.play(4, share_lost=0.0)
+        fleet.run_step(4, share_lost=0.0)
     fleet.exhaust()
-    fleet.members = [Member(size, 7_000 + each, 0.0) for each in range(size)]
+    fleet.members = [Member(size, 7_000 + seed, 0.0) for seed in range(size)]
     for step in range(2 * STEPS_A_WINDOW):
-        for each in fleet.members:
-            each.now_ms = float(step * STEP_MS)
-        fleet.play(4, share_lost=float(step >= quiet_steps))
+        for member in fleet.members:
+            member.now_ms = float(step * STEP_MS)
+        fleet.run_step(4, share_lost=float(step >= quiet_steps))
         if step >= quiet_steps:
             fleet.exhaust()
-    assert_every_window_keeps_a_bound_of_its_own_or_the_one_before(fleet)
+    assert_no_window_exceeds_the_larger_budget_of_two(fleet)
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_no_window_passes_the_bound_in_a_group_that_is_parted(size):
-    """Each part still counts the members that it lost."""
+def test_no_window_exceeds_the_budget_in_a_partitioned_group(size):
+    """Both sides still count the members that they lost."""
     fleet = Fleet(size, seed=size)
     for _ in range(STEPS_A_WINDOW):
-        fleet.play(6, share_lost=0.2)
-    for each in fleet.members[: size // 3]:
-        each.known = size
+        fleet.run_step(6, share_lost=0.2)
+    for member in fleet.members[: size // 3]:
+        member.known = size
     for _ in range(2 * STEPS_A_WINDOW):
-        fleet.play(6, share_lost=1.0)
+        fleet.run_step(6, share_lost=1.0)
         fleet.exhaust()
-    assert_every_window_keeps_a_bound_of_its_own_or_the_one_before(fleet)
+    assert_no_window_exceeds_the_larger_budget_of_two(fleet)
 
 
 @pytest.mark.parametrize("size", [74, 195, 380])
-def test_most_streams_that_lose_their_endpoint_are_sent_again_in_a_large_group(size):
-    """Seen: 195 instances, 16 streams a second; an availability zone's endpoints died
-    every few seconds, 81 streams lost theirs and none was sent again, since each
-    instance's part was 0.52 of a repeat."""
+def test_most_lost_streams_are_retried_in_a_large_group(size):
+    """Each instance's part is less than one retry, so that whole retries only would
+    mean none at all."""
     fleet = Fleet(size, seed=7)
     lost = 0
     for step in range(12 * STEPS_A_WINDOW):
         fails = step % 20 == 19
-        fleet.play(4, share_lost=1.0 if fails else 0.0, tries=1)
+        fleet.run_step(4, share_lost=1.0 if fails else 0.0, tries=1)
         lost += 4 * fails
-    assert sum(fleet.repeats) >= 0.6 * lost
+    assert sum(fleet.retries) >= 0.6 * lost
 
 
-def test_a_member_has_its_part_once_it_has_run_for_a_window():
+def test_a_member_has_its_reserve_after_running_for_a_window():
     member = Member(9, up_ms=0.0)
     assert not member.budget.take(0.0)
     member.now_ms = 9_999.0
@@ -259,24 +256,24 @@
     assert taken >= 7
 
 
-def test_a_lot_spends_what_is_left_however_it_falls():
+def test_a_random_draw_spends_what_is_left_whatever_its_outcome():
     budget = WindowBudget(0.4, 10_000.0, Random(3))
-    won = 0
-    for each in range(1_000):
-        budget.requested(each * 20_000.0)
-        won += budget.take(each * 20_000.0)
-        assert not budget.take(each * 20_000.0)
-    assert 350 <= won <= 450
+    allowed = 0
+    for window in range(1_000):
+        budget.requested(window * 20_000.0)
+        allowed += budget.take(window * 20_000.0)
+        assert not budget.take(window * 20_000.0)
+    assert 350 <= allowed <= 450
 
 
-def test_what_requests_earned_lapses_after_a_window():
+def test_earnings_of_requests_expire_after_a_window():
     budget = WindowBudget(0.5, 10_000.0, Random(3))
     budget.requested(0.0)
     budget.requested(1.0)
     assert not budget.take(10_001.0)
 
 
-def test_a_send_that_reached_nobody_costs_nothing():
+def test_a_send_that_reached_no_endpoint_costs_nothing():
     account = SendAccount(WindowBudget(0.0, 10_000.0, Random(3), most=1, saved=1))
     assert account.may_send(0.0)
     account.not_sent()
