--- a/tests/common/faulted_gateway.py
+++ b/tests/common/faulted_gateway.py
@@ -1,9 +1,9 @@
-"""A gateway whose machine can be suspended, and whose way to the store can be faulty.
+"""A gateway process whose machine can be suspended and whose store link can be faulty.
 
-`python -m tests.common.faulted_gateway` runs one as `platform/serve.py` does, on a
-machine as `tests.common.suspension` has it. The store is reached by the address that
-`COURSEKEEL_STORE_LINK` names, if it is set; the settings name the store itself, whose
-address is also the name of the group.
+`python -m tests.common.faulted_gateway` runs a gateway as `platform/serve.py` does,
+with suspensions as in `tests.common.suspension`. If `COURSEKEEL_STORE_LINK` is set, the
+store is reached by that address. The settings still have the store's own address, since
+it is also the name of the group.
 """
 
 import functools
@@ -17,14 +17,14 @@
 _PLATFORM = Path(__file__).parents[2] / "platform"
 
 
-def _reach_store_by(link: str) -> None:
+def _use_store_link(link: str) -> None:
     import _rows
 
-    real = _rows.StoreRows.__init__
+    original = _rows.StoreRows.__init__
 
-    @functools.wraps(real)
+    @functools.wraps(original)
     def wrapped(self, reactor, _address, *more):
-        real(self, reactor, link, *more)
+        original(self, reactor, link, *more)
 
     _rows.StoreRows.__init__ = wrapped
 
@@ -33,7 +33,7 @@
     install()
     sys.path.insert(0, str(_PLATFORM))
     if link := os.environ.get(_STORE_LINK):
-        _reach_store_by(link)
+        _use_store_link(link)
     import serve
 
     return serve.main()
--- a/tests/common/suspension.py
+++ b/tests/common/suspension.py
@@ -1,8 +1,7 @@
-"""A machine that can be suspended, as far as one process can tell.
+"""Simulates a suspension of the machine for one process.
 
-After `install` SIGUSR1 stops the process until somebody sends SIGCONT, and its steady
-clock with it: what `time.monotonic` gives goes on from the moment of the stop, for
-timers too, while CLOCK_BOOTTIME and the time of day count the time between.
+After `install` SIGUSR1 stops the process until SIGCONT. `time.monotonic`, and so timers
+too, doesn't count that time; CLOCK_BOOTTIME and the wall clock do.
 """
 
 import os
@@ -14,23 +13,23 @@
 _monotonic = time.monotonic
 
 
-class _SteadyClock:
-    """Stands in for `time.monotonic`."""
+class _MonotonicClock:
+    """Replaces `time.monotonic`."""
 
     def __init__(self) -> None:
-        self.stood_still_s = 0.0
+        self.suspended_s = 0.0
 
     def __call__(self) -> float:
-        return _monotonic() - self.stood_still_s
+        return _monotonic() - self.suspended_s
 
     def suspend(self, _number: int, _frame: object) -> None:
-        begun_s = _monotonic()
+        stopped_s = _monotonic()
         os.kill(os.getpid(), signal.SIGSTOP)
-        self.stood_still_s += _monotonic() - begun_s
+        self.suspended_s += _monotonic() - stopped_s
 
 
 def install() -> None:
-    """Begin; called before whatever reads a clock is imported."""
-    clock = _SteadyClock()
+    """Replace the clock; call it before importing modules that read one."""
+    clock = _MonotonicClock()
     time.monotonic = clock
     signal.signal(signal.SIGUSR1, clock.suspend)
--- a/tests/cover/test_answer_driver.py
+++ b/tests/cover/test_answer_driver.py
@@ -1,4 +1,4 @@
-"""The driver of an answer's core: one event at a time, and an alarm that ends."""
+"""AnswerDriver: events are handled one at a time, and the timer doesn't loop."""
 
 import math
 from unittest.mock import Mock
@@ -26,7 +26,7 @@
 
 
 class Recorder(AnswerShell):
-    """Keeps what it is asked; a search for an endpoint finds none."""
+    """Records actions and events; carries out nothing."""
 
     def __init__(self) -> None:
         self.reactor = FakeReactor()
@@ -47,25 +47,24 @@
 
 @pytest.fixture
 def shell() -> Recorder:
-    made = Recorder()
-    made.driver.tell(Started())
-    return made
+    recorder = Recorder()
+    recorder.driver.tell(Started())
+    return recorder
 
 
-def test_an_answer_whose_patience_is_over_is_given_up(shell):
+def test_an_answer_is_interrupted_when_its_patience_is_over(shell):
     shell.reactor.advance(PATIENCE_MS / 1_000)
     assert isinstance(shell.actions[-1], Interrupt)
 
 
-def test_a_process_that_wakes_past_the_patience_gives_up_after_reading_once(shell):
-    """Seen in a test: the alarm rang late, was set anew for the past, and rang again
-    and again while the process did nothing else."""
+def test_an_alarm_that_fires_late_is_set_again_only_once(shell):
+    """Otherwise it would be set for a time in the past, be late again, and so on."""
     shell.reactor.advance(PATIENCE_MS / 1_000 + 10)
     assert shell.events == [Started(), ReadingResumed(), Tick()]
     assert isinstance(shell.actions[-1], Interrupt)
 
 
-def test_while_reading_is_held_no_silence_is_judged(shell):
+def test_no_tick_while_reading_is_held(shell):
     shell.driver.reading_held = True
     shell.reactor.advance(PATIENCE_MS / 1_000)
     assert shell.events == [Started()]
@@ -74,14 +73,14 @@
     assert shell.events == [Started(), Tick()]
 
 
-def test_while_silence_says_nothing_only_patience_ends(shell):
+def test_patience_ends_an_answer_while_silence_does_not_count(shell):
     shell.driver.silence_counts = lambda: False
     shell.reactor.advance(PATIENCE_MS / 1_000)
     assert shell.events == [Started(), ReadingResumed(), Tick()]
     assert isinstance(shell.actions[-1], Interrupt)
 
 
-def test_an_event_told_in_the_middle_of_another_waits_its_turn():
+def test_an_event_during_the_handling_of_another_is_queued():
     shell = Recorder()
     order: list[str] = []
 
@@ -96,18 +95,16 @@
     assert order == ["sought", "Started", "Tick"]
 
 
-def test_a_stopped_alarm_rings_no_more(shell):
+def test_a_cancelled_alarm_does_not_fire(shell):
     shell.driver.stop_alarm()
     shell.reactor.advance(100)
     assert shell.events == [Started()]
 
 
-def test_an_alarm_for_a_moment_that_has_passed_rings_at_once_on_a_running_clock(shell):
-    """Found by the soak, seed 100: a process that was paused woke with a request whose
-    time was over; the clock moved on by a microsecond between two readings, and the
-    reactor took no alarm with a wait below zero."""
-    moment_ms = iter(range(10_000, 20_000))
-    shell.driver.clock.now_ms = lambda: float(next(moment_ms))
+def test_an_alarm_for_a_past_time_is_set_without_a_negative_delay(shell):
+    """The clock advances between two calls; the reactor refuses negative delays."""
+    times_ms = iter(range(10_000, 20_000))
+    shell.driver.clock.now_ms = lambda: float(next(times_ms))
     waits_s = []
     shell.driver.reactor = Mock(callLater=lambda wait_s, *_: waits_s.append(wait_s))
     shell.driver._set_alarm(9_000.0)
--- a/tests/cover/test_fingerprint.py
+++ b/tests/cover/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What counts as the same request, whatever its id."""
+"""Fingerprints of requests: which requests count as the same, whatever their ids."""
 
 import pytest
 from attrs import evolve
@@ -24,13 +24,13 @@
 )
 
 
-def test_another_id_and_the_rest_of_a_stream_are_the_same_request():
-    again = evolve(CALL, caller=CallerHeaders("r2", "key-2", 900, 7), arrived_ms=9)
-    assert again.fingerprint == CALL.fingerprint
+def test_fingerprint_ignores_request_id_key_and_resume_position():
+    resumed = evolve(CALL, caller=CallerHeaders("r2", "key-2", 900, 7), arrived_ms=9)
+    assert resumed.fingerprint == CALL.fingerprint
 
 
 @pytest.mark.parametrize(
-    "other",
+    "changes",
     [
         {"method": b"PUT"},
         {"host": "other.example"},
@@ -40,5 +40,5 @@
         {"target": b"/stream/5p", "body": b"rompt"},
     ],
 )
-def test_what_differs_in_anything_asked_is_another_request(other):
-    assert evolve(CALL, **other).fingerprint != CALL.fingerprint
+def test_fingerprint_differs_for_another_team_or_content(changes):
+    assert evolve(CALL, **changes).fingerprint != CALL.fingerprint
--- a/tests/cover/test_slowdown_machine.py
+++ b/tests/cover/test_slowdown_machine.py
@@ -1,4 +1,4 @@
-"""Everything slows down at once: budgets hold, and endpoints are not all given up."""
+"""Many requests fail at once: retries stay in budget, and endpoints are tried again."""
 
 from random import Random
 
@@ -20,17 +20,17 @@
 
 
 class SlowdownMachine(RuleBasedStateMachine):
-    """One pool before several instances that don't talk; any request may time out."""
+    """One pool used by several instances without contact; any request may time out."""
 
     @initialize(seed=st.integers(0, 99))
-    def begin(self, seed: int) -> None:
+    def set_up(self, seed: int) -> None:
         self.now_ms = 0.0
         self.random = Random(seed)
         self.budgets = [
-            instance_budget(SHARE, Random(each)) for each in range(INSTANCES)
+            instance_budget(SHARE, Random(instance)) for instance in range(INSTANCES)
         ]
         self.requests: list[float] = []
-        self.repeats: list[float] = []
+        self.retries: list[float] = []
         self.directory = EndpointDirectory()
         for number in range(ENDPOINTS):
             name, zone = f"e{number}", f"z{number % 3}"
@@ -42,30 +42,30 @@
         )
         self.running: list[str] = []
         self.waiting: dict[int, float] = {}
-        self.numbers = 0
+        self.last_number = 0
 
     @rule(count=st.integers(1, 60), failing=st.integers(0, 100))
-    def requests_come_and_time_out(self, count: int, failing: int) -> None:
-        """Whatever fails is sent once more if its instance's budget has it."""
+    def send_requests(self, count: int, failing: int) -> None:
+        """A failed request is retried once if its instance's budget allows it."""
         for _ in range(count):
             budget = self.random.choice(self.budgets)
             budget.requested(self.now_ms)
             self.requests.append(self.now_ms)
             if self.random.randrange(100) < failing and budget.take(self.now_ms):
-                self.repeats.append(self.now_ms)
+                self.retries.append(self.now_ms)
 
     @rule(count=st.integers(1, 30), patience_ms=st.integers(50, 2_000))
-    def runs_are_asked_for(self, count: int, patience_ms: int) -> None:
+    def place_requests(self, count: int, patience_ms: int) -> None:
         for _ in range(count):
-            self.numbers += 1
+            self.last_number += 1
             deadline_ms = self.now_ms + patience_ms
-            self.waiting[self.numbers] = deadline_ms
+            self.waiting[self.last_number] = deadline_ms
             request = PlacementRequest(
-                "t", "c", 0, POOL, 10.0, deadline_ms, number=self.numbers
+                "t", "c", 0, POOL, 10.0, deadline_ms, number=self.last_number
             )
-            self.take(self.router.place(request, self.now_ms))
+            self.apply_decisions(self.router.place(request, self.now_ms))
 
-    def take(self, decisions: list[Grant | Refuse]) -> None:
+    def apply_decisions(self, decisions: list[Grant | Refuse]) -> None:
         for decision in decisions:
             deadline_ms = self.waiting.pop(decision.number)
             if isinstance(decision, Grant):
@@ -75,41 +75,45 @@
                 assert decision.retry_after_ms > 0
 
     @rule(count=st.integers(1, 20), failed=st.booleans())
-    def runs_end(self, count: int, failed: bool) -> None:
+    def end_runs(self, count: int, failed: bool) -> None:
         for _ in range(min(count, len(self.running))):
             endpoint_id = self.running.pop(self.random.randrange(len(self.running)))
-            self.take(self.router.released(endpoint_id, 500.0, self.now_ms, failed))
+            self.apply_decisions(
+                self.router.released(endpoint_id, 500.0, self.now_ms, failed)
+            )
 
     @rule(number=st.integers(0, ENDPOINTS - 1))
-    def an_endpoint_does_not_answer(self, number: int) -> None:
+    def lose_endpoint(self, number: int) -> None:
         self.directory.failed(f"e{number}", self.now_ms)
         self.router.endpoints.lost(POOL, f"e{number}", self.now_ms)
 
     @rule()
-    def none_answers(self) -> None:
+    def lose_all_endpoints(self) -> None:
         for number in range(ENDPOINTS):
-            self.an_endpoint_does_not_answer(number)
+            self.lose_endpoint(number)
 
     @rule(number=st.integers(0, ENDPOINTS - 1))
-    def an_endpoint_refuses(self, number: int) -> None:
+    def refuse_at_endpoint(self, number: int) -> None:
         self.router.turned_away(f"e{number}", self.now_ms)
 
     @rule(wait_ms=st.integers(10, 4_000))
-    def time_passes(self, wait_ms: int) -> None:
+    def advance_time(self, wait_ms: int) -> None:
         self.now_ms += wait_ms
-        self.take(self.router.review(self.now_ms))
+        self.apply_decisions(self.router.review(self.now_ms))
 
     @invariant()
-    def repeats_stay_within_the_shared_budget(self) -> None:
+    def retries_stay_within_the_shared_budget(self) -> None:
         since_ms = self.now_ms - WINDOW_MS
-        repeats = sum(at >= since_ms for at in self.repeats)
-        requests = sum(at >= since_ms - WINDOW_MS for at in self.requests)
-        assert repeats <= SHARE.ratio * requests + SHARE.slack
+        retries = sum(sent_ms >= since_ms for sent_ms in self.retries)
+        requests = sum(
+            arrived_ms >= since_ms - WINDOW_MS for arrived_ms in self.requests
+        )
+        assert retries <= SHARE.ratio * requests + SHARE.slack
 
     @invariant()
-    def nothing_waits_past_its_time(self) -> None:
-        self.take(self.router.review(self.now_ms))
-        assert all(self.now_ms <= at for at in self.waiting.values())
+    def no_request_waits_past_its_deadline(self) -> None:
+        self.apply_decisions(self.router.review(self.now_ms))
+        assert all(self.now_ms <= due_ms for due_ms in self.waiting.values())
 
     @invariant()
     def no_endpoint_has_more_runs_than_its_slots(self) -> None:
@@ -118,18 +122,18 @@
 
     @invariant()
     def every_endpoint_is_tried_again(self) -> None:
-        """However often all failed together, none is given up for good."""
+        """No endpoint stays ejected for good, however often all failed together."""
         later_ms = self.now_ms + 6_000.0
         for number in range(ENDPOINTS):
             assert self.directory.may_take(f"e{number}", later_ms)
 
     def teardown(self) -> None:
-        """Once all answers again, a request is served."""
+        """Once the failures have ended, a request is granted an endpoint."""
         self.now_ms += 10_000.0
-        self.take(self.router.review(self.now_ms))
+        self.apply_decisions(self.router.review(self.now_ms))
         while self.running:
-            self.runs_end(20, False)
-        self.runs_are_asked_for(1, 1_000)
+            self.end_runs(20, False)
+        self.place_requests(1, 1_000)
         assert self.running
 
 
