--- a/src/coursekeel/gateway/_gateway.py
+++ b/src/coursekeel/gateway/_gateway.py
@@ -1,8 +1,8 @@
-"""One gateway: every part, made and joined, started and stopped in order.
+"""The gateway role: builds its components, and starts and stops them in order.
 
-Owns the parts and the listening sockets. Parts are made so that each gets what it needs
-in its constructor, and none reaches back: settings, what is known of the site, sockets
-to endpoints, health, the dispatcher, the tasks that follow the store.
+Owns the components and the listening sockets. Each component gets its dependencies in
+its constructor, so the order is: settings, cached state of the site, connections to
+endpoints, health, the dispatcher, the tasks that follow the store.
 """
 
 from collections.abc import Callable
@@ -56,17 +56,16 @@
 
 __all__ = ["Gateway"]
 
-# Connections that the kernel holds until they are accepted. More than all instances'
-# callers open in the time that a busy process needs for a turn.
-_BACKLOG = 512
+# Connections that the kernel queues until they are accepted: more than callers open
+# during one iteration of a busy event loop.
+_LISTEN_BACKLOG = 512
 
-# How often a stopping instance looks whether it has served all. A small part of what is
-# left of the grace at its end.
-_DRAIN_LOOK_S = 0.05
+# Interval at which a stopping instance checks whether all requests have ended.
+_DRAIN_CHECK_INTERVAL_S = 0.05
 
-# Routing's refusals tell callers to come back within these bounds, and a continuing
-# request waits so long for an endpoint outside failing zones. A site's callers have
-# seconds, not the minute of the product's own intents.
+# Bounds on `Retry-After` of routing's refusals, and how long a continuing request waits
+# before it may go to an endpoint that it excludes. Shorter than the defaults, since
+# callers of a site have timeouts of seconds.
 _ROUTER_SETTINGS = RouterSettings(
     retry_after_least_ms=50, retry_after_most_ms=1_000, avoid_ms=100
 )
@@ -74,9 +73,9 @@
 
 @define(eq=False)
 class Gateway(Role):
-    """The role that forwards. Every instance runs one, and all are the same.
+    """The role that forwards requests; every instance of a site runs one.
 
-    ``link`` is told of long answers by whatever asks for them, ``source`` included.
+    ``link`` must be the one that ``source`` reports its received bytes to.
     ``read_settings`` reads the settings file again; without it a reload does nothing.
     """
 
@@ -91,12 +90,12 @@
     read_settings: Callable[[], GatewaySettings] | None = None
     clock: Clock = field(factory=Clock)
     shutdown: Shutdown = field(factory=Shutdown)
-    _live: LiveSettings = field(init=False)
+    _live_settings: LiveSettings = field(init=False)
     _router: Router = field(init=False)
     _group: Group = field(init=False)
-    _keeper: SuspectKeeper = field(init=False)
+    _suspect_keeper: SuspectKeeper = field(init=False)
     _site: KnownSite = field(init=False)
-    _hold: StartHold = field(factory=StartHold)
+    _start_hold: StartHold = field(factory=StartHold)
     _rollouts: CanaryTask = field(init=False)
     _metrics: GatewayMetrics = field(init=False)
     _dispatcher: Dispatcher = field(init=False)
@@ -107,14 +106,14 @@
     def __attrs_post_init__(self) -> None:
         random = Random(self.settings.seed)
         directory = EndpointDirectory()
-        self._live = LiveSettings(self.settings)
+        self._live_settings = LiveSettings(self.settings)
         self._router = Router(
             self.settings.zone, random, directory.may_take, _ROUTER_SETTINGS
         )
         routing = RoutingTask(self.reactor, self.clock, self._router)
         freshness = Freshness()
         quarantine = Quarantine()
-        self._keeper = SuspectKeeper(
+        self._suspect_keeper = SuspectKeeper(
             self.reactor,
             self.clock,
             self.suspect_table,
@@ -124,13 +123,13 @@
         self._group = Group(
             self.reactor,
             self.clock,
-            self._live,
+            self._live_settings,
             freshness,
             self.source,
             random,
             self.link,
             quarantine,
-            self._keeper.changed,
+            self._suspect_keeper.changed,
             lambda message: self._rollouts.received(message),
         )
         canary = self.settings.canary
@@ -142,12 +141,12 @@
         self._site = KnownSite(
             self.reactor,
             self.clock,
-            self._live,
+            self._live_settings,
             directory,
             routing,
             self._group.store_is_away_for_all,
             freshness,
-            self._hold,
+            self._start_hold,
             rollouts,
             lambda: self._rollouts.ordered(),
         )
@@ -165,28 +164,33 @@
         )
         self._metrics = GatewayMetrics(self.clock, self._site.belief)
         client = EndpointClient(
-            self.reactor, self.clock, self._live, self.endpoints, self.link
+            self.reactor, self.clock, self._live_settings, self.endpoints, self.link
         )
         health = EndpointHealth(self.clock, self._site, self._router, self._metrics)
         gate = QuarantineGate(
-            self.clock, quarantine, self._group.tell_suspects, self._keeper.touched
+            self.clock,
+            quarantine,
+            self._group.tell_suspects,
+            self._suspect_keeper.touched,
         )
         context = GatewayContext(
             self.reactor,
             self.clock,
             random,
-            self._live,
+            self._live_settings,
             self._site,
             routing,
             client,
             health,
-            RetryBudgets(self._live, lambda: self._group.members, random, self.clock),
+            RetryBudgets(
+                self._live_settings, lambda: self._group.members, random, self.clock
+            ),
             self._metrics,
             gate,
             CrashWatch(
                 self.reactor,
                 self.clock,
-                self._live,
+                self._live_settings,
                 self._site,
                 client,
                 health,
@@ -203,7 +207,7 @@
             self.callers,
             self.shutdown,
             lambda: self._group.alone_in_zone,
-            self._hold,
+            self._start_hold,
         )
         self._follow_tasks = self._make_follow_tasks(random)
         add_gauges(
@@ -211,7 +215,7 @@
             self._group,
             self._router,
             self._site,
-            self._hold,
+            self._start_hold,
             self._dispatcher,
             self._follow_tasks[0],
         )
@@ -224,8 +228,8 @@
                 timers.configuration_hold_ms,
                 timers.configuration_gathering_ms,
                 site.take_configuration,
-                _needs_no_settling,
-                self._hold.failed,
+                _ignore_outage,
+                self._start_hold.failed,
                 self._store_restored,
                 site.orders_proved,
             ),
@@ -235,7 +239,7 @@
                 timers.endpoints_gathering_ms,
                 site.take_endpoints,
                 site.endpoints_back,
-                self._hold.failed,
+                self._start_hold.failed,
             ),
         )
 
@@ -247,60 +251,62 @@
                 self.clock,
                 random,
                 self._group.source,
-                each,
+                followed,
                 self.settings.timers.store_ms,
                 self._site.freshness,
                 store_clock,
-                self._group.feeds[each.table],
+                self._group.feeds[followed.table],
             )
-            for each in self._followed_tables()
+            for followed in self._followed_tables()
         ]
 
     def _report_period_ms(self) -> float:
         members = self._group.members or 1
-        return report_period_ms(members, self._live.now.canary.rollback_ms)
+        return report_period_ms(members, self._live_settings.now.canary.rollback_ms)
 
     def _store_restored(self) -> None:
-        """The store forgot what was written since its copy was made."""
+        """The store was restored from an older copy and lacks the latest writes."""
         self._rollouts.store_restored()
-        self._keeper.store_restored(self._group.is_mine)
+        self._suspect_keeper.store_restored(self._group.is_mine)
 
     # Starting.
 
     async def start(self) -> None:
-        """Open the sockets and begin to follow the store."""
+        """Open the sockets and start to follow the store."""
         listen = self.settings.listen
         server = caller_server(
-            self._dispatcher.take, lambda: self._site.limits, self._connections
+            self._dispatcher.handle_request,
+            lambda: self._site.limits,
+            self._connections,
         )
         self._listen(listen.callers, server)
         if listen.readiness:
-            self._listen(listen.readiness, status_server(self._readiness))
+            self._listen(listen.readiness, status_server(self._readiness_page))
         if listen.metrics:
             self._listen(listen.metrics, status_server(self._metrics_page))
         if listen.peers:
             self._listen(listen.peers, self._group.server.site())
         self._group.start()
-        self._keeper.start()
+        self._suspect_keeper.start()
         for task in self._follow_tasks:
             task.start()
         log_event("gateway_started", callers=listen.callers, zone=self.settings.zone)
-        ports = (str(each.getHost().port) for each in self._listeners)
+        ports = (str(listener.getHost().port) for listener in self._listeners)
         print("listening", *ports, flush=True)
 
     def _listen(self, address: str, server: Any) -> None:
         host, _, port = address.rpartition(":")
         listener = self.reactor.listenTCP(
-            int(port), server, backlog=_BACKLOG, interface=host
+            int(port), server, backlog=_LISTEN_BACKLOG, interface=host
         )
         self._listeners.append(listener)
 
     @property
     def ready(self) -> bool:
-        """Say whether the balancer should give this instance new connections."""
+        """Whether the load balancer should send new connections to this instance."""
         return self._site.ready and not self.shutdown.begun
 
-    def _readiness(self, path: str) -> StatusPage:
+    def _readiness_page(self, path: str) -> StatusPage:
         if path != self.callers.readiness_path:
             return StatusPage(HTTPStatus.NOT_FOUND, b"")
         if self.ready:
@@ -312,33 +318,33 @@
         return StatusPage(HTTPStatus.OK, content)
 
     def reload(self) -> None:
-        """Read the settings again; faults are logged, and the old ones stay."""
+        """Read the settings again; invalid ones are logged and ignored."""
         if self.read_settings is not None:
-            self._live.reload(self.read_settings)
+            self._live_settings.reload(self.read_settings)
 
     # Stopping.
 
     async def stop(self) -> None:
-        """Finish what runs, within the grace that is given, and close."""
+        """Finish open requests within the grace period, then close."""
         if self.shutdown.begun:
             return
-        dispatcher, grace_ms = self._dispatcher, self._live.timers.grace_ms
+        dispatcher, grace_ms = self._dispatcher, self._live_settings.timers.grace_ms
         window = StopWindow.beginning(self.clock.now_ms(), grace_ms)
         self.shutdown.window = window
         log_event("gateway_stopping", open_requests=dispatcher.open_requests)
         self._group.stop()
-        while self._must_wait(window):
-            await deferLater(self.reactor, _DRAIN_LOOK_S)
+        while self._is_draining(window):
+            await deferLater(self.reactor, _DRAIN_CHECK_INTERVAL_S)
         log_event("gateway_drained", open_requests=dispatcher.open_requests)
         await self._close_connections(window.last_ms)
-        self._keeper.stop()
+        self._suspect_keeper.stop()
         self._rollouts.stop()
         for task in self._follow_tasks:
             task.stop()
         log_event("gateway_stopped", open_requests=dispatcher.open_requests)
 
-    def _must_wait(self, window: StopWindow) -> bool:
-        """Wait for what runs; callers' kept connections are closed meanwhile."""
+    def _is_draining(self, window: StopWindow) -> bool:
+        """Whether to go on waiting; closes idle connections once no new ones come."""
         now_ms = self.clock.now_ms()
         if now_ms < window.settled_ms:
             return True
@@ -346,12 +352,12 @@
         return self._dispatcher.open_requests > 0 and now_ms < window.last_ms
 
     async def _close_connections(self, last_ms: float) -> None:
-        """Take no new ones, and wait until what was written to the others is sent."""
+        """Accept no more connections, and wait until all written data is sent."""
         self._listeners[0].stopListening()
         while len(self._connections) and self.clock.now_ms() < last_ms:
             self._connections.close_idle()
-            await deferLater(self.reactor, _DRAIN_LOOK_S)
+            await deferLater(self.reactor, _DRAIN_CHECK_INTERVAL_S)
 
 
-def _needs_no_settling(_lost_for_ms: float) -> None:
-    """The configuration doesn't lapse while the store is away."""
+def _ignore_outage(_outage_ms: float) -> None:
+    """The configuration doesn't expire while the store is unreachable."""
--- a/src/coursekeel/gateway/_http.py
+++ b/src/coursekeel/gateway/_http.py
@@ -1,6 +1,6 @@
-"""The HTTP servers of a gateway: callers, readiness, metrics.
+"""The HTTP servers of a gateway: callers, peers, readiness, metrics.
 
-Owns the open connections and the bounds on what is read from them. Relies on Twisted's
+Owns the open connections and the limits on what is read from them. Relies on Twisted's
 HTTP server for everything else.
 """
 
@@ -29,7 +29,10 @@
 
 
 class CallerRequest(BoundedBody, Request):
-    """A request whose path and body are not parsed: Twisted would read forms in it."""
+    """A request whose path and body Twisted doesn't parse for arguments and forms.
+
+    The limits are read at each body. ``take`` is called with each received request.
+    """
 
     limits: _Limits
     take: Callable[["CallerRequest"], None]
@@ -49,7 +52,7 @@
         type(self).take(self)
 
     def header_pairs(self) -> HeaderPairs:
-        """The headers as they came, their names in lower case."""
+        """The received headers, with names in lower case."""
         return [
             (name.lower(), value)
             for name, values in self.requestHeaders.getAllRawHeaders()
@@ -57,7 +60,7 @@
         ]
 
     def host_name(self) -> str:
-        """The host that was asked for, without a port."""
+        """The host of the `Host` header, without its port."""
         host = (self.getHeader(b"host") or b"").decode("latin-1")
         return host.rpartition(":")[0] or host
 
@@ -67,10 +70,10 @@
 
 
 class OpenConnections:
-    """The connections of a server, so that a stop loses nothing that was written.
+    """The open connections of a server.
 
-    A reply that has ended may still lie in this process's buffers, and a process that
-    ends takes it along.
+    Used at shutdown: the end of a finished reply may still be in this process's
+    buffers, and would be lost if the process exited.
     """
 
     def __init__(self) -> None:
@@ -79,34 +82,34 @@
     def __len__(self) -> int:
         return len(self._channels)
 
-    def opened(self, channel: "_CallerChannel") -> None:
-        """A connection was made."""
+    def add(self, channel: "_CallerChannel") -> None:
+        """Add a connection that was opened."""
         self._channels.add(channel)
 
-    def closed(self, channel: "_CallerChannel") -> None:
-        """A connection is gone."""
+    def remove(self, channel: "_CallerChannel") -> None:
+        """Remove a connection that was closed."""
         self._channels.discard(channel)
 
     def close_idle(self) -> None:
-        """Close those that wait for no reply, once what was written is sent."""
+        """Close connections without a request, once all written data is sent."""
         for channel in list(self._channels):
             if not channel.requests:
                 channel.loseConnection()
 
 
 class _CallerChannel(HTTPChannel):
-    """A connection whose headers are bounded by the limits in force when it opened."""
+    """A connection that limits the size of headers as configured when it opened."""
 
     limits: _Limits
     connections: OpenConnections
 
     def connectionMade(self) -> None:
         self.totalHeadersSize = self.limits().header_bytes
-        self.connections.opened(self)
+        self.connections.add(self)
         super().connectionMade()
 
     def connectionLost(self, reason: Any = connectionDone) -> None:
-        self.connections.closed(self)
+        self.connections.remove(self)
         super().connectionLost(reason)
 
 
@@ -115,37 +118,37 @@
     limits: _Limits,
     connections: OpenConnections,
 ) -> Any:
-    """The callers' server: ``take`` gets each whole request.
+    """A server that calls ``take`` with each request once its body was received.
 
-    ``limits`` are asked for at each connection and body, since they change.
+    ``limits`` is called for each connection and body, since the limits can change.
     """
-    kept = {"limits": staticmethod(limits), "take": staticmethod(take)}
-    request = type("TakenRequest", (CallerRequest,), kept)
-    channel = type(
+    attributes = {"limits": staticmethod(limits), "take": staticmethod(take)}
+    request_class = type("TakenRequest", (CallerRequest,), attributes)
+    channel_class = type(
         "TakenChannel",
         (_CallerChannel,),
         {
             "limits": staticmethod(limits),
-            "requestFactory": request,
+            "requestFactory": request_class,
             "connections": connections,
         },
     )
-    site: Any = HTTPFactory(timeout=limits().idle_timeout_ms / 1000)
-    site.protocol = channel
-    site.log = lambda _: None
-    return site
+    factory: Any = HTTPFactory(timeout=limits().idle_timeout_ms / 1000)
+    factory.protocol = channel_class
+    factory.log = lambda _: None
+    return factory
 
 
 @frozen
 class StatusPage:
-    """A short answer of the gateway's own."""
+    """A short response that the gateway itself makes."""
 
     status: int
     body: bytes
 
 
 def send_page(request: CallerRequest, page: StatusPage) -> None:
-    """Reply with a page, whole."""
+    """Send a page as the complete response."""
     request.setResponseCode(page.status)
     length = str(len(page.body)).encode()
     request.responseHeaders.setRawHeaders(b"content-length", [length])
@@ -153,10 +156,10 @@
     request.finish()
 
 
-def status_server(answer: Callable[[str], StatusPage]) -> Any:
-    """A server of short answers: ``answer`` gets a path."""
+def status_server(page_for_path: Callable[[str], StatusPage]) -> Any:
+    """A server of status pages; ``page_for_path`` returns the page for a path."""
 
-    def take(request: CallerRequest) -> None:
-        send_page(request, answer(request.path_name()))
+    def respond(request: CallerRequest) -> None:
+        send_page(request, page_for_path(request.path_name()))
 
-    return caller_server(take, RequestLimits, OpenConnections())
+    return caller_server(respond, RequestLimits, OpenConnections())
--- a/src/coursekeel/gateway/_metrics.py
+++ b/src/coursekeel/gateway/_metrics.py
@@ -1,7 +1,7 @@
-"""What a gateway counts and logs of its requests and endpoints.
+"""Metrics and log lines of a gateway's requests and endpoints.
 
-Owns the metrics and the bounds on their series. Each method is one happening: one log
-line and the metrics that it moves, so that both tell the same story.
+Owns the metrics and the bounds on their series. Each method records one event, as a log
+line and in the metrics, so that both agree.
 """
 
 import math
@@ -21,18 +21,18 @@
 
 __all__ = ["GatewayMetrics", "LostRun", "logged_age_ms"]
 
-# Series of a gateway's counter and of each histogram; a few hundred in all with 24
-# teams (the users' bound, kept by tests/cover/test_gateway_metrics.py).
-_MAX_COUNTED_SETS = 200
-_MAX_TIMED_SETS = 64  # see above
+# Bounds on the label sets of the request counter and of each histogram, so that the
+# number of series doesn't grow with every route that was ever configured.
+_MAX_COUNTER_LABEL_SETS = 200
+_MAX_HISTOGRAM_LABEL_SETS = 64
 
 
 @frozen
 class LostRun:
-    """A run that was lost, and ``why``.
+    """A run that was lost; ``why`` is the reason.
 
-    ``ran_ms`` is how long ago its answer's head came, None if none came; ``gave_ms``
-    how long ago its first event did, and ``events`` how many it gave.
+    ``ran_ms``: time since its response headers arrived, None if they didn't.
+    ``gave_ms``: time since its first event. ``events``: the number of its events.
     """
 
     endpoint_id: str
@@ -44,18 +44,20 @@
 
 @define(eq=False)
 class GatewayMetrics:
-    """Turns what happened into one log line and the metrics it moves.
+    """Logs and counts what happens to requests, runs and endpoints.
 
-    ``belief`` gives what routes and keys are taken from now.
+    ``belief`` returns the version and age of the cached configuration.
     """
 
     clock: Clock
     belief: Callable[[], Belief] = Belief
     metrics: Metrics = field(factory=Metrics)
-    _counted: LabelSets = field(
-        factory=lambda: LabelSets(_MAX_COUNTED_SETS, kept=("outcome",))
+    _counter_label_sets: LabelSets = field(
+        factory=lambda: LabelSets(_MAX_COUNTER_LABEL_SETS, kept=("outcome",))
+    )
+    _histogram_label_sets: LabelSets = field(
+        factory=lambda: LabelSets(_MAX_HISTOGRAM_LABEL_SETS)
     )
-    _timed: LabelSets = field(factory=lambda: LabelSets(_MAX_TIMED_SETS))
 
     def ended(
         self,
@@ -66,10 +68,14 @@
         first_ms: float | None = None,
         ways: Sequence[str] = (),
     ) -> None:
-        """A request came to its end."""
+        """Record the end of an admitted request.
+
+        ``code`` is its outcome and ``sends`` how often it was sent. ``first_ms`` is the
+        time of a stream's first event; ``ways`` are how the runs of a stream started.
+        """
         now_ms = self.clock.now_ms()
-        self._count(call.team_name, call.route.name, code)
-        self._time(call, first_ms, now_ms)
+        self._count_request(call.team_name, call.route.name, code)
+        self._observe_duration(call, first_ms, now_ms)
         fields: dict[str, Any] = {
             "request": call.caller.request_id,
             "route": call.route.name,
@@ -88,28 +94,30 @@
             fields["fingerprint"] = call.fingerprint
         log_event("request_ended", **fields)
 
-    def _time(
+    def _observe_duration(
         self, call: AdmittedRequest, first_ms: float | None, now_ms: float
     ) -> None:
-        """A stream is timed to its first event, a whole answer to its end."""
-        timed = self._times(call)
+        """Time a stream up to its first event, any other request up to its end."""
+        labels = self._histogram_labels(call)
         if first_ms is not None:
             first_s = (first_ms - call.arrived_ms) / MS_PER_SECOND
-            self.metrics.first_token_s.observe(timed, first_s)
+            self.metrics.first_token_s.observe(labels, first_s)
         else:
-            taken_s = (now_ms - call.arrived_ms) / MS_PER_SECOND
-            self.metrics.call_s.observe(timed, taken_s)
+            duration_s = (now_ms - call.arrived_ms) / MS_PER_SECOND
+            self.metrics.call_s.observe(labels, duration_s)
 
-    def _count(self, team: str, request_class: str, code: str) -> None:
+    def _count_request(self, team: str, request_class: str, code: str) -> None:
         labels = {"team": team, "class": request_class, "outcome": code}
-        self.metrics.requests.inc(self._counted.of(labels))
+        self.metrics.requests.inc(self._counter_label_sets.of(labels))
 
-    def _times(self, call: AdmittedRequest) -> dict[str, str]:
-        return self._timed.of({"team": call.team_name, "class": call.route.name})
+    def _histogram_labels(self, call: AdmittedRequest) -> dict[str, str]:
+        return self._histogram_label_sets.of(
+            {"team": call.team_name, "class": call.route.name}
+        )
 
     def barred(self, call: AdmittedRequest, barred_ms: float) -> None:
-        """A request wasn't admitted since endpoints ended under what it asks."""
-        self._count(call.team_name, call.route.name, STOPS_ENDPOINTS)
+        """Record a request refused for ``barred_ms``: it crashed endpoints before."""
+        self._count_request(call.team_name, call.route.name, STOPS_ENDPOINTS)
         log_event(
             "request_refused",
             request=call.caller.request_id,
@@ -122,8 +130,8 @@
     def refused(
         self, request_id: str, refusal: GatewayRefusal, routes_age_ms: float
     ) -> None:
-        """A request wasn't admitted, with routes and keys of this age."""
-        self._count("", "", refusal.code)
+        """Record a request that wasn't admitted, and the age of routes and keys."""
+        self._count_request("", "", refusal.code)
         log_event(
             "request_refused",
             request=request_id,
@@ -142,9 +150,10 @@
         copy_id: str = "",
         version: str = "",
     ) -> None:
-        """A request is sent to an endpoint, for these reasons.
+        """Log the choice of an endpoint for a request, with what it was based on.
 
-        ``version`` is the endpoint's, if its pool has an order of a roll-out.
+        ``candidates`` is the number of endpoints to choose from. ``version`` is the
+        endpoint's, if its pool has a rollout order.
         """
         now_ms, belief = self.clock.now_ms(), self.belief()
         fields: dict[str, Any] = {
@@ -172,7 +181,7 @@
         log_event("endpoint_chosen", **fields)
 
     def try_ended(self, call: AdmittedRequest, endpoint_id: str, outcome: str) -> None:
-        """A send came back without an answer to give out."""
+        """Record a send that brought no answer for the caller."""
         self.metrics.attempts.inc({"way": outcome})
         log_event(
             "try_ended",
@@ -183,7 +192,10 @@
         )
 
     def run_lost(self, call: AdmittedRequest, lost: LostRun, position: int) -> None:
-        """A run was lost before its answer was whole."""
+        """Record a run that was lost before its answer was complete.
+
+        ``position`` is the number of the answer's last event so far.
+        """
         self.metrics.attempts.inc({"way": "lost"})
         fields: dict[str, Any] = {}
         if lost.ran_ms is not None:
@@ -200,15 +212,17 @@
         )
 
     def endpoint_ended(self, endpoint_id: str, fingerprints: Sequence[str]) -> None:
-        """An endpoint ended while it had these requests."""
+        """Record the crash of an endpoint that had these requests."""
         self.metrics.attempts.inc({"way": "ended_under"})
         log_event(
             "endpoint_ended", endpoint=endpoint_id, fingerprints=",".join(fingerprints)
         )
 
     def resumed(self, call: AdmittedRequest, way: str, waited_ms: float) -> None:
-        """An answer went on after a loss."""
-        self.metrics.resume_s.observe(self._times(call), waited_ms / MS_PER_SECOND)
+        """Record that an answer resumed, ``waited_ms`` after the loss of its run."""
+        self.metrics.resume_s.observe(
+            self._histogram_labels(call), waited_ms / MS_PER_SECOND
+        )
         log_event(
             "run_resumed",
             request=call.caller.request_id,
@@ -217,7 +231,7 @@
         )
 
     def ejected(self, endpoint_id: str, reason: str, ejected_ms: float) -> None:
-        """An endpoint takes no new work for a while."""
+        """Record that an endpoint gets no new work for ``ejected_ms``."""
         self.metrics.attempts.inc({"way": "ejected"})
         log_event(
             "endpoint_ejected",
@@ -227,10 +241,10 @@
         )
 
     def gauge(self, name: str, doc: str, read: Callable[[], float]) -> None:
-        """Add a gauge that is read when the metrics are asked for."""
+        """Add a gauge whose value is read whenever the metrics are rendered."""
         self.metrics.gauge(name, doc, read)
 
 
 def logged_age_ms(age_ms: float) -> int | str:
-    """An age as log lines give it, in whole ms; "none" if nothing was ever proven."""
+    """Format an age for log lines: whole ms, or "none" without any confirmation."""
     return round(age_ms) if math.isfinite(age_ms) else "none"
--- a/src/coursekeel/runtime/_periodic.py
+++ b/src/coursekeel/runtime/_periodic.py
@@ -1,4 +1,4 @@
-"""A task that does one thing again and again, one run at a time."""
+"""A periodic task that runs a coroutine at an interval, one run at a time."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -15,57 +15,60 @@
 
 
 def spawn(work: Any, name: str, reactor: Any) -> "Deferred[None]":
-    """Run a coroutine by itself; a broken invariant in it stops the process."""
+    """Run a coroutine in the background; failures are logged as those of ``name``.
 
-    def failed(failure: Any) -> None:
-        trace = failure.getTraceback()
-        log_event("task_failed", logging.ERROR, task=name, error=trace)
+    A broken invariant stops the reactor.
+    """
+
+    def on_failure(failure: Any) -> None:
+        traceback = failure.getTraceback()
+        log_event("task_failed", logging.ERROR, task=name, error=traceback)
         if failure.check(InvariantBroken):
             reactor.callWhenRunning(reactor.stop)
 
-    started: Deferred[None] = ensureDeferred(work)
-    started.addErrback(failed)
-    return started
+    result: Deferred[None] = ensureDeferred(work)
+    result.addErrback(on_failure)
+    return result
 
 
 @define(eq=False)
 class Periodic:
-    """Calls ``work`` every ``interval_ms``, and never twice at once."""
+    """Runs ``work``, waits ``interval_ms`` after its end, and runs it again."""
 
     reactor: Reactor
     name: str
     interval_ms: float
     work: Callable[[], Awaitable[None]]
     _running: bool = False
-    _again: bool = False
+    _rerun: bool = False
     _stopped: bool = True
     _timer: Any = field(default=None)
 
     def start(self) -> None:
-        """Begin with a run at once."""
+        """Start with a run at once."""
         self._stopped = False
         self.now()
 
     def stop(self) -> None:
-        """Don't start another run."""
+        """Start no more runs; one in progress goes on."""
         self._stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
     def now(self) -> None:
-        """Run at once, or directly after the run that is under way."""
+        """Run at once, or directly after the run in progress."""
         if self._running:
-            self._again = True
+            self._rerun = True
             return
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._running = True
-        spawn(self.work(), self.name, self.reactor).addCallback(self._done)
+        spawn(self.work(), self.name, self.reactor).addCallback(self._on_run_end)
 
-    def _done(self, _: object) -> None:
+    def _on_run_end(self, _: object) -> None:
         self._running = False
         if self._stopped:
             return
-        delay_s = 0.0 if self._again else self.interval_ms / 1000
-        self._again = False
+        delay_s = 0.0 if self._rerun else self.interval_ms / 1000
+        self._rerun = False
         self._timer = self.reactor.callLater(delay_s, self.now)
--- a/src/coursekeel/runtime/_process.py
+++ b/src/coursekeel/runtime/_process.py
@@ -1,4 +1,4 @@
-"""Run one role on the asyncio reactor until a signal ends it."""
+"""Runs one role on the asyncio reactor until a signal stops it."""
 
 import gc
 import logging
@@ -17,57 +17,56 @@
 
 __all__ = ["Role", "install_reactor", "run_role"]
 
-EXIT_BROKEN = 70  # EX_SOFTWARE of sysexits.h
-# Allocations between two looks of the garbage collector (Python's own is 700): most
-# objects here are freed by their count.
-_COLLECT_AFTER = 20_000
-# How often lines that a slow reader left waiting are tried again, and the clocks are
-# compared.
-_UPKEEP_MS = 500
+EXIT_INVARIANT_BROKEN = 70  # EX_SOFTWARE of sysexits.h
+# Threshold of the garbage collector's youngest generation. Far above Python's default,
+# since reference counting frees most objects.
+_GC_THRESHOLD = 20_000
+# Interval at which buffered log lines are written again and suspensions are detected.
+_UPKEEP_INTERVAL_MS = 500
 
 
 class Role(ABC):
-    """What a process does between its start and its end."""
+    """What a process serves: the entry or the gateway."""
 
     @abstractmethod
     async def start(self) -> None:
-        """Open the sockets and begin."""
+        """Open the sockets and start serving."""
 
     @abstractmethod
     async def stop(self) -> None:
-        """Finish what runs, and close."""
+        """Finish open requests and close."""
 
     def reload(self) -> None:
-        """Read the settings again; a role that can't keeps what it has."""
+        """Read the settings again on SIGHUP; by default the signal is ignored."""
         log_event("reload_ignored")
 
 
 @define
 class _FailureWatch:
-    """Hears what Twisted caught; a broken invariant ends the process.
+    """Logs the exceptions that Twisted caught; a broken invariant stops the process.
 
-    Twisted closes the connection in whose callback an exception rose and goes on. For
-    an invariant that isn't enough: what else this process holds can't be trusted.
+    For other exceptions it is enough that Twisted closes the connection concerned.
+    After a broken invariant the state of the whole process may be wrong.
     """
 
     reactor: Reactor
-    broken: bool = False
+    invariant_broken: bool = False
 
     def __call__(self, event: dict[str, Any]) -> None:
         failure = event.get("log_failure")
         if failure is None:
             return
-        trace = failure.getTraceback()
-        log_event("unhandled_failure", logging.ERROR, error=trace)
-        if failure.check(InvariantBroken) and not self.broken:
-            self.broken = True
+        traceback = failure.getTraceback()
+        log_event("unhandled_failure", logging.ERROR, error=traceback)
+        if failure.check(InvariantBroken) and not self.invariant_broken:
+            self.invariant_broken = True
             self.reactor.callFromThread(self.reactor.stop)
 
 
 def install_reactor() -> Reactor:
-    """Choose the asyncio reactor, before anything imports the default one.
+    """Install the asyncio reactor; call it before anything imports the default one.
 
-    gRPC needs the asyncio loop, so it is that one.
+    gRPC needs an asyncio event loop.
     """
     from twisted.internet import asyncioreactor
 
@@ -84,7 +83,7 @@
     watch: Any = _FailureWatch(reactor)
     globalLogBeginner.beginLoggingTo([watch], redirectStandardIO=False)
 
-    async def end() -> None:
+    async def stop_role() -> None:
         await role.stop()
         reactor.stop()
 
@@ -93,36 +92,36 @@
         if number == signal.SIGHUP:
             reactor.callFromThread(role.reload)
         else:
-            reactor.callFromThread(lambda: spawn(end(), "stop", reactor))
+            reactor.callFromThread(lambda: spawn(stop_role(), "stop", reactor))
 
-    def listen() -> None:
+    def install_signal_handlers() -> None:
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, on_signal)
 
-    reactor.callWhenRunning(_upkeep(reactor).start)
+    reactor.callWhenRunning(_upkeep_task(reactor).start)
     reactor.callWhenRunning(lambda: spawn(role.start(), "start", reactor))
-    reactor.callWhenRunning(listen)
-    _collect_seldom()
+    reactor.callWhenRunning(install_signal_handlers)
+    _configure_garbage_collector()
     reactor.run()
-    return EXIT_BROKEN if watch.broken else 0
+    return EXIT_INVARIANT_BROKEN if watch.invariant_broken else 0
 
 
-def _upkeep(reactor: Reactor) -> Periodic:
-    """Writes what a slow reader of the log left, and tells of suspensions."""
+def _upkeep_task(reactor: Reactor) -> Periodic:
+    """The periodic task that flushes buffered log lines and logs suspensions."""
     clock = Clock()
     watch = SuspensionWatch(clock.suspended_ms())
 
-    async def look() -> None:
-        suspended_ms = watch.look(clock.suspended_ms())
+    async def run_upkeep() -> None:
+        suspended_ms = watch.check(clock.suspended_ms())
         if suspended_ms:
             log_event("suspended", logging.WARNING, for_ms=round(suspended_ms))
         flush_logs()
 
-    return Periodic(reactor, "upkeep", _UPKEEP_MS, look)
+    return Periodic(reactor, "upkeep", _UPKEEP_INTERVAL_MS, run_upkeep)
 
 
-def _collect_seldom() -> None:
-    """Collect seldom: what lives long is frozen, what doesn't is freed by count."""
+def _configure_garbage_collector() -> None:
+    """Freeze the objects that exist at start, and run the garbage collector rarely."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(_COLLECT_AFTER, 10, 10)
+    gc.set_threshold(_GC_THRESHOLD, 10, 10)
