--- a/src/coursekeel/entry/_calls_task.py
+++ b/src/coursekeel/entry/_calls_task.py
@@ -1,4 +1,4 @@
-"""The task that carries calls to plain services."""
+"""The task that runs calls to plain services."""
 
 import math
 from functools import cached_property
@@ -55,15 +55,15 @@
 
 __all__ = ["CallRequest", "CallsTask"]
 
-# For half a minute the table may be away before a call's result is given up.
+# Retries of writing a call's result, for about half a minute of a store outage.
 _RECORD_TRIES = 30
-_RECORD_PAUSE_S = 1.0  # see above
+_RECORD_PAUSE_S = 1.0
 _SAFE_METHODS = ("GET", "HEAD")
 
 
 @define(frozen=True)
 class CallRequest:
-    """One call to a service. ``key`` is the caller's, empty if it gave none."""
+    """One call to a service; ``key`` is its idempotency key, or empty."""
 
     team: TeamIntent
     service: ServiceIntent
@@ -76,7 +76,7 @@
 
     @property
     def route(self) -> RouteIntent | None:
-        """The longest route that the intent has for this call."""
+        """The matching route with the longest path prefix, or None."""
         fitting = [
             each
             for each in self.service.routes
@@ -86,13 +86,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """Say whether the intent lets the call be repeated; silence means no."""
+        """Whether the intent allows repeating the call; False without a route."""
         route = self.route
         return route is not None and route.repeatable
 
     @cached_property
     def fingerprint(self) -> str:
-        """The same for what the same team asks again, whatever its key and entry."""
+        """Fingerprint of the call, equal for repeated calls with any key or entry."""
         service = self.service.name.encode()
         asked = (b"call", service, self.method.encode(), self.path.encode(), self.body)
         return request_fingerprint(self.team.name, *asked)
@@ -100,7 +100,7 @@
 
 @define(eq=False)
 class _CallRun:
-    """One call under way: whom it was sent to, its leave, and its caller."""
+    """A running call: its quarantine pass, its reply, the endpoints tried."""
 
     request: CallRequest
     leave: QuarantinePass
@@ -108,7 +108,7 @@
     tried: set[str] = field(factory=set)
 
     def answer(self, reply: CallReply) -> None:
-        """Give the final word, and why if endpoints ended under the request."""
+        """Send the final reply; names the quarantine if it left no endpoint."""
         barred_ms = self.leave.barred_ms
         if reply.code == "no_endpoint" and barred_ms:
             reply = evolve(
@@ -121,7 +121,10 @@
 
 @define(eq=False)
 class CallsTask:
-    """Runs calls: each has a core, and this task's sockets carry out its actions."""
+    """Runs calls: carries out the actions of each call's core.
+
+    ``address`` returns the "host:port" of an endpoint id.
+    """
 
     reactor: Reactor
     clock: Clock
@@ -143,7 +146,7 @@
             self._fetchers[repeatable] = fetcher
 
     async def call(self, request: CallRequest) -> CallReply:
-        """Carry one call to its final word."""
+        """Run one call and wait for its reply."""
         core = CallCore(
             CallPolicy(request.repeatable, retry_after_ms=1_000),
             self._claim(request),
@@ -195,7 +198,7 @@
         )
 
     async def _record(self, action: Record) -> TransactOutcome:
-        """Keep the call's fate; a result is tried for a while, a refusal once."""
+        """Store the call's outcome; retries a failed write unless it is a refusal."""
         write = Transaction(
             {action.row.key: action.version}, {action.row.key: action.row.to_row()}
         )
@@ -252,7 +255,7 @@
         request = run.request
 
         def may_send() -> bool:
-            """What was known before, looked at again once the connection stands."""
+            """Repeat the checks once the connection is open."""
             now_ms = self.clock.now_ms()
             may_take = self.routing.router.may_take(endpoint_id, now_ms)
             return may_take and now_ms < deadline_ms and run.leave.may_send()
--- a/src/coursekeel/entry/answers/__init__.py
+++ b/src/coursekeel/entry/answers/__init__.py
@@ -1,3 +1,3 @@
-"""The entry's answers: tasks, readers, journal, the taking over of others' answers."""
+"""Answers of an entry: tasks, readers, journal, and adoption from lost entries."""
 
 __all__: list[str] = []
--- a/src/coursekeel/entry/answers/_adoption_task.py
+++ b/src/coursekeel/entry/answers/_adoption_task.py
@@ -1,4 +1,4 @@
-"""The task that watches the other instances' leases and adopts what they leave."""
+"""The task that watches other instances' leases and adopts their answers on lapse."""
 
 from base64 import b64decode
 from random import Random
@@ -43,16 +43,16 @@
 
 __all__ = ["AdoptionTask"]
 
-# A lapse is seen within a third of a lease after it. Each look scans all entries' rows.
+# Scans per lease time; each scan reads the rows of all entries.
 _LOOKS_A_LEASE = 3
 _BOTH_PREFIX = "leases/"
-# Rows that one scan reads: more than the 380 nodes of docs/CAPACITY.md.
+# Limit of rows per scan: more than the 380 nodes of docs/CAPACITY.md.
 _MOST_LEASES = 1_000
-# Ended incarnations looked at in one round, so that a site's restart is adopted in
-# steps.
+# Limit of sealed incarnations per round, so that the answers of a whole site's restart
+# are adopted in steps.
 _MOST_ORPHANS = 16
-# How long an incarnation's journal stays after its last answer was adopted: adopters
-# read it until their own journal holds the rest.
+# How long an incarnation's segments stay after its last answer was adopted. They are
+# needed until the adopters' own journals hold the tokens.
 _GARBAGE_AFTER_S = 60.0
 
 
@@ -60,8 +60,8 @@
 class AdoptionTask:
     """Seals lapsed incarnations and adopts their answers, a few at a time.
 
-    Every entry does this, so the pace of one bounds the load and their number spreads
-    it; a compare-and-set on the answer's row settles who gets which.
+    All entries do this concurrently; a compare-and-set on an answer's row decides which
+    one adopts it.
     """
 
     reactor: Reactor
@@ -83,16 +83,15 @@
         self._loop = Periodic(self.reactor, "adoption", step_ms, self._round)
 
     def start(self) -> None:
-        """Watch from now on."""
+        """Start watching leases."""
         self._loop.start()
 
     def stop(self) -> None:
-        """Adopt nothing more."""
+        """Stop watching leases."""
         self._loop.stop()
 
     async def _round(self) -> None:
-        # One scan shows leases and orphans: reads are what entries cost the store when
-        # nothing happens.
+        # One scan for leases and orphans keeps the idle load on the store low.
         rows = await self.platform.scan(_BOTH_PREFIX, _MOST_LEASES)
         if isinstance(rows, Unavailable):
             return
@@ -114,7 +113,7 @@
                 await self._seal(row)
 
     async def _seal(self, row: Row) -> bool:
-        """Open an incarnation's answers to adoption; its own next renewal fails."""
+        """Seal the incarnation of a lease row; say whether it succeeded."""
         outcome = await self.platform.transact(seal(row))
         self._watch.forget(row.key)
         sealed = isinstance(outcome, Committed)
@@ -123,7 +122,7 @@
         return sealed
 
     async def seal_refusing(self, instance_id: str, incarnation: str) -> None:
-        """An owner's address refused the connection: its process is gone for sure."""
+        """Seal an incarnation whose address refused a connection: it has exited."""
         rows = await self.platform.read([lease_key(instance_id)])
         if isinstance(rows, Unavailable):
             return
@@ -135,8 +134,8 @@
 
     async def _adopt_some(self, orphan: Row) -> None:
         incarnation = orphan.value["incarnation"]
-        # Twice the pace are read and half of them drawn, oldest first by and large,
-        # so that two entries don't try for exactly the same answers.
+        # Draws half of the oldest rows at random, so that two entries rarely try to
+        # adopt the same answers.
         limit = 2 * self.limits.adopted_at_once
         rows = await self.platform.scan(f"owned/{incarnation}/", limit)
         if isinstance(rows, Unavailable):
@@ -154,7 +153,7 @@
             Transaction({orphan.key: orphan.version}, {orphan.key: None})
         )
         if isinstance(outcome, Committed):
-            # Adopters still read the segments until their own journal holds the rest.
+            # Adopters may still need the segments.
             self.reactor.callLater(_GARBAGE_AFTER_S, self._sweep, orphan)
 
     def _sweep(self, orphan: Row) -> None:
@@ -166,7 +165,7 @@
             await self.platform.delete_object(segment_key(incarnation, number))
 
     async def adopt_one(self, team: str, request_id: str) -> bool:
-        """Adopt one answer now, because its caller is here; False if it can't be."""
+        """Adopt one answer at once for a waiting caller; say whether it runs here."""
         key = answer_key(team, request_id)
         rows = await self.platform.read([key])
         if isinstance(rows, Unavailable) or key not in rows.rows:
@@ -221,7 +220,10 @@
     async def _read_journal(
         self, record: AnswerRecord, last_segment: int
     ) -> JournalReader | None:
-        """The answer as the journal holds it; None while that can't be read."""
+        """Read the answer's tokens from the journal; None if the store is out.
+
+        Falls back to the journal of the previous owner if this one holds nothing.
+        """
         reader = JournalReader(record.key, Ledger(record.generation))
         own = PriorJournal(
             record.owner, record.generation, record.first_segment, last_segment
@@ -276,7 +278,7 @@
     async def _version_if_taken(
         self, outcome: object, taken: AnswerRecord
     ) -> int | None:
-        """The row's version if the takeover stands, a lost answer read back."""
+        """The row's version if the takeover was written, read back if unsure."""
         if isinstance(outcome, Committed):
             return outcome.versions[taken.key]
         found = await self.registry.store.read(taken.team, taken.request_id)
--- a/src/coursekeel/entry/answers/_answer_measures.py
+++ b/src/coursekeel/entry/answers/_answer_measures.py
@@ -1,4 +1,4 @@
-"""What is counted, timed and logged of one answer."""
+"""Metrics and log events of one answer."""
 
 from attrs import define
 
@@ -9,14 +9,17 @@
 
 __all__ = ["AnswerMeasures"]
 
-# One gap in so many is observed: a histogram's entry costs more than passing a token
-# on.
+# Samples one in so many gaps between tokens: observing each would cost more than
+# passing the tokens on.
 _GAP_SAMPLE = 64
 
 
 @define(eq=False)
 class AnswerMeasures:
-    """First tokens, resumptions, one in many of the usual gaps, attempts, extra use."""
+    """Records times to first token, resumptions, sampled gaps, and attempts.
+
+    ``arrived_ms`` is the time at which the request arrived.
+    """
 
     request: GenerationRequest
     label: str
@@ -27,7 +30,7 @@
     _deliveries: int = 0
 
     def delivered(self, now_ms: float) -> None:
-        """The ledger grew."""
+        """Record that tokens were added to the ledger."""
         if self._resuming or self._deliveries % _GAP_SAMPLE == 0:
             self._observe(now_ms)
         self._deliveries += 1
@@ -35,11 +38,11 @@
         self._last_token_ms = now_ms
 
     def resumes_if(self, held_tokens: int) -> None:
-        """An answer that holds tokens and seeks again goes on after a loss."""
+        """Mark the answer as resuming if it already has tokens."""
         self._resuming = self._resuming or held_tokens > 0
 
     def attempt_opened(self, action: OpenAttempt) -> None:
-        """A run was asked for."""
+        """Count and log an attempt."""
         labels = self._labels()
         self.metrics.attempts.inc({**labels, "way": action.way.value})
         self.resumes_if(action.from_position)
--- a/src/coursekeel/entry/answers/_answer_placement.py
+++ b/src/coursekeel/entry/answers/_answer_placement.py
@@ -1,7 +1,7 @@
-"""Place: finds engines for one answer's runs, and for the copies of their memory.
+"""Finds engines for one answer's runs and for the copies of their memory.
 
-Owns the search, and the place that routing granted and no attempt has taken yet. Relies
-on routing for every choice.
+Owns the search and the slot that routing granted and no attempt uses yet. Relies on
+routing for every choice.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 @define(eq=False)
 class AnswerPlacement:
-    """Looks for engines for ``request``; a search stops with `stop`."""
+    """Searches engines for ``request``; `stop` ends a search."""
 
     routing: RoutingTask
     clock: Clock
@@ -28,7 +28,7 @@
     _granted: str = ""
 
     def search(self, action: SeekEndpoint, decided: Callable[[Decision], None]) -> None:
-        """Ask routing for an engine; ``decided`` is called once unless stopped."""
+        """Request an engine from routing; ``decided`` is called once unless stopped."""
         self._number = None
         self._searched = self._placement_request(action)
 
@@ -61,29 +61,32 @@
         )
 
     def stop(self) -> None:
-        """Search no more."""
+        """Stop the search."""
         if self._number is not None:
             self.routing.withdraw(self._number)
             self._number = None
 
     def give_back(self) -> None:
-        """A place that was granted and that no attempt took is free again."""
+        """Return a granted slot that no attempt uses."""
         if self._granted:
             endpoint_id, self._granted = self._granted, ""
             self.routing.returned(endpoint_id, self.request.prompt_tokens)
 
     def may_have(self, action: OpenAttempt) -> bool:
-        """A copy is at an engine that routing didn't choose now; it may be leaving."""
+        """Whether the attempt's engine may run it.
+
+        Routing has not just chosen the engine of a copy, so that one may be leaving.
+        """
         return action.way is not Way.COPY or self.takes_work(action.endpoint_id)
 
     def takes_work(self, endpoint_id: str) -> bool:
-        """Say whether an engine is known to take new work now."""
+        """Whether the endpoint accepts new work now."""
         return self.routing.router.may_take(endpoint_id, self.clock.now_ms())
 
     def take_place(self, action: OpenAttempt) -> bool:
-        """Take the place that was granted, or one at the engine that keeps a copy.
+        """Use the granted slot, or one at the engine that keeps a copy.
 
-        Says whether the attempt holds a place, which is to be released with it.
+        Returns whether the attempt holds a slot, which must be released with it.
         """
         if action.way is Way.COPY:
             self.routing.router.sent_to_copy(action.endpoint_id)
@@ -94,7 +97,7 @@
         return holds_place
 
     def keeper(self, action: OpenAttempt, bad_endpoints: frozenset[str]) -> str:
-        """The endpoint that shall keep a copy of the run; empty if there is none."""
+        """Choose the endpoint to keep a copy of the run; empty if there is none."""
         if self._searched is None:
             return ""
         excluded = self._searched.excluded | bad_endpoints
--- a/src/coursekeel/entry/answers/_answer_registry.py
+++ b/src/coursekeel/entry/answers/_answer_registry.py
@@ -1,7 +1,7 @@
-"""Every answer that this entry drives, and how durable ones are kept and settled.
+"""The answers that this entry runs, and the storing of durable ones.
 
-Owns the answers by key, their rows' versions, and how many bytes of prompts the store
-doesn't hold yet. Relies on `AnswerStore` for rows and on `JournalTask` for segments.
+Owns the answers by key, the versions of their rows, and the count of prompt bytes that
+are not stored yet. Relies on `AnswerStore` for rows and on `JournalTask` for segments.
 """
 
 from attrs import define, evolve, field
@@ -36,25 +36,24 @@
 
 __all__ = ["AnswerRegistry"]
 
-# Between two tries to write an answer's row.
+# Delay between two attempts to write an answer's row.
 _RETRY_S = 1.0
-# How long an answer without a caller runs on when it isn't durable: callers that lost
-# their connection come back within seconds.
+# How long an answer that isn't stored runs on without a reader, so that a caller whose
+# connection broke can reconnect.
 _RETURN_WINDOW_S = 15.0
-# How long an ended answer is kept here for callers that come back for its rest.
+# How long an ended answer stays in memory for callers that reconnect.
 _KEPT_AFTER_END_S = 30.0
-# A durable answer with the caller's key begins without its row after so long, so that a
-# first token doesn't wait for a slow store.
+# A durable answer with a caller's request id starts without its row after this time, so
+# that a slow store doesn't delay the first token.
 _CLAIM_WAIT_S = 0.15
-# How often, and how many times (3 s in all), it is looked whether a request stands in
-# the store.
+# Interval and number of the polls that wait for a request to be stored: 3 s in all.
 _STORED_LOOK_S = 0.02
-_STORED_LOOKS = 150  # see above
+_STORED_LOOKS = 150
 
 
 @define(eq=False)
 class _Durable:
-    """Book-keeping of one durable answer that this entry owns."""
+    """Storage state of one durable answer that this entry owns."""
 
     record: AnswerRecord
     version: int = 0
@@ -65,7 +64,7 @@
 
 @define(eq=False)
 class AnswerRegistry:
-    """Starts, finds and settles answers. One entry has one."""
+    """Starts and finds answers, and stores how they ended. One per entry."""
 
     reactor: Reactor
     instance_id: str
@@ -82,18 +81,18 @@
     # Starting.
 
     def generation_name(self) -> str:
-        """A name for a new generation that tells which incarnation made it."""
+        """A new generation name; begins with this process incarnation's name."""
         self._generations += 1
         return f"{self.journal.incarnation}-{self._generations}"
 
     def has_room(self, request: GenerationRequest) -> bool:
-        """Say whether a durable request's prompt may still wait for the store."""
+        """Whether the prompt fits into the memory for prompts not stored yet."""
         if not request.policy.durable:
             return True
         return self.unstored_bytes + len(request.body) <= self.unstored_limit_bytes
 
     def start(self, request: GenerationRequest) -> AnswerTask:
-        """Begin an answer; a durable one is stored beside, not before."""
+        """Start an answer; a durable one is stored concurrently."""
         ledger = Ledger(self.generation_name())
         task = self._task(request, ledger)
         if request.policy.durable:
@@ -119,17 +118,17 @@
         return task
 
     def _journal_end(self, key: str, task: AnswerTask) -> int:
-        """In a store outage tokens leave at once, as the class's page says."""
+        """The number of tokens in the journal; all tokens during a store outage."""
         durable = self._durable.get(key)
         if self.journal.store_out or durable is None or durable.settled:
             return task.ledger.next_position
         return self.journal.writer.durable_tokens(key)
 
     def find(self, team: str, request_id: str) -> AnswerTask | None:
-        """An answer that this entry drives."""
+        """The answer that this entry runs, or None."""
         return self.tasks.get(answer_key(team, request_id))
 
-    # Keeping.
+    # Storing the request.
 
     def _keep(self, task: AnswerTask) -> None:
         request = task.request
@@ -154,12 +153,12 @@
             self.reactor.callLater(_CLAIM_WAIT_S, self._start_anyway, task)
 
     def _start_anyway(self, task: AnswerTask) -> None:
-        """The store is slow to say whether the id is new: serving doesn't wait."""
+        """Start although the store has not confirmed yet that the id is new."""
         if task.core.state == "waiting" and not task.begun and not task.ended:
             task.tell(Started())
 
     async def _store(self, task: AnswerTask, durable: _Durable) -> None:
-        """Put prompt and row in the store, however long that takes."""
+        """Store the prompt and the row, with retries until it succeeds."""
         while not task.gone:
             outcome = await self._insert(task.request, durable)
             if isinstance(outcome, Committed):
@@ -204,14 +203,14 @@
         durable.prompt_bytes = 0
 
     async def _is_anothers(self, task: AnswerTask, durable: _Durable) -> None:
-        """The id is taken: the first one's answer is the answer."""
+        """Stop the answer: another owner already stored one under this id."""
         self._forget_prompt(durable)
         log_event("answer_is_anothers", request=task.core.label)
         self.fence(durable.record.key, stops_run=True)
         await self.store.drop_prompt(durable.record)
 
     async def until_stored(self, task: AnswerTask) -> bool:
-        """Wait for the store, for a while; say whether the request is safe."""
+        """Wait about 3 s for the request to be stored; say whether it is."""
         for _ in range(_STORED_LOOKS):
             if task.stored:
                 return True
@@ -223,7 +222,7 @@
         return task.stored
 
     def give_up(self, task: AnswerTask) -> None:
-        """The caller or an operator gave the answer up."""
+        """Cancel the answer for its caller or an operator."""
         if not task.ended:
             task.tell(Cancelled())
 
@@ -237,7 +236,10 @@
         ledger: Ledger,
         started: Started,
     ) -> AnswerTask:
-        """Drive an answer that was another's, from the tokens its journal holds."""
+        """Continue another owner's answer from the tokens in its journal.
+
+        ``version`` is that of the row that this entry wrote to take the answer over.
+        """
         task = self._task(request, ledger)
         self._durable[record.key] = _Durable(record, version)
         task.stored = True
@@ -245,14 +247,15 @@
         return task
 
     def next_order(self) -> int:
-        """The place of the next answer in this owner's index."""
+        """The position of the next answer in this owner's index."""
         self._orders += 1
         return self._orders
 
     def fence(self, key: str, stops_run: bool = False) -> None:
-        """Another entry owns the answer: stop, and send its readers away.
+        """Stop an answer that another entry owns, and redirect its readers.
 
-        With ``stops_run`` it always was another's: nobody needs what was made here.
+        ``stops_run`` says that this entry never owned the answer, so its run and its
+        segments are discarded. Otherwise they are left to the new owner.
         """
         task = self.tasks.pop(key, None)
         self._durable.pop(key, None)
@@ -269,10 +272,10 @@
         task.wake_followers()
 
     def incarnation_lost(self) -> None:
-        """The lease is another's, and with it every answer that stands in the table.
+        """Fence the stored answers after this incarnation lost its lease.
 
-        What the table never held is nobody else's: it goes on under the new name. Nor
-        is what ended there: its readers get its rest.
+        Answers that were never stored continue under the new incarnation. Answers whose
+        end is stored are still sent to their readers.
         """
         for key, durable in list(self._durable.items()):
             if durable.settled:
@@ -291,24 +294,24 @@
             first_segment=self.journal.writer.next_segment,
         )
 
-    # Events of tasks.
+    # Callbacks of tasks.
 
     def run_known(self, task: AnswerTask, endpoint_id: str, head: StreamHead) -> None:
-        """A stream opened: an adopter should know of it."""
+        """Add an opened run to the journal, so that an adopter can continue it."""
         key = self._key(task)
         if key in self._durable:
             writer = self.journal.writer
             writer.runs_at(key, endpoint_id, head.run_id, head.label)
 
     def journal_gained(self, keys: list[str]) -> None:
-        """The journal holds more of these answers, or may speak again for all."""
+        """Wake the readers of these answers, or of all if ``keys`` is empty."""
         for key in keys or list(self._durable):
             task = self.tasks.get(key)
             if task is not None:
                 task.wake_followers()
 
     def left(self, task: AnswerTask) -> None:
-        """A reader left: an answer that isn't durable ends when nobody returns."""
+        """Cancel an answer that isn't stored if no reader returns in time."""
         if not task.stored and not task.followers and not task.ended:
             self.reactor.callLater(_RETURN_WINDOW_S, self._nobody_returned, task)
 
@@ -317,7 +320,7 @@
             task.tell(Cancelled())
 
     def ended(self, task: AnswerTask) -> None:
-        """An answer came to its end."""
+        """Count and store the end of an answer, and remove it later."""
         self._count(task)
         if task.stored and not task.gone:
             self._settle_soon(task)
@@ -341,7 +344,7 @@
         key = self._key(task)
         durable = self._durable.get(key)
         if durable is not None and not durable.settled and not task.gone:
-            # What the store doesn't hold yet stays here, however long that takes.
+            # The end is not stored yet, so the answer must stay in memory.
             self.reactor.callLater(_KEPT_AFTER_END_S, self._drop, task)
             return
         if self.tasks.get(key) is task:
@@ -349,7 +352,7 @@
         self._durable.pop(key, None)
         self.journal.forget(key)
 
-    # Settling.
+    # Storing the end.
 
     def _settle_soon(self, task: AnswerTask) -> None:
         durable = self._durable.get(self._key(task))
@@ -358,7 +361,7 @@
             spawn(self._settle(task, durable), "settle_answer", self.reactor)
 
     async def _settle(self, task: AnswerTask, durable: _Durable) -> None:
-        """Write how the answer ended; until then another may still adopt it."""
+        """Store how the answer ended; until then another entry may adopt it."""
         key = durable.record.key
         while not task.gone:
             ended = self._ended_record(task, durable.record)
@@ -373,7 +376,7 @@
             await self._pause(_RETRY_S)
         durable.settled = True
         task.unsettled = False
-        # How it ended stands in the table: nobody can take it over any more.
+        # An answer whose end is stored can't be adopted, so sending needs no lease.
         task.durable_right_ms = None
         self.journal.forget(key)
         task.wake_followers()
--- a/src/coursekeel/entry/answers/_answer_store.py
+++ b/src/coursekeel/entry/answers/_answer_store.py
@@ -1,4 +1,4 @@
-"""Durable answers in the table and the object store: how they are written and read."""
+"""Reads and writes durable answers in the table and the object store."""
 
 from base64 import b64decode, b64encode
 
@@ -20,14 +20,14 @@
 
 __all__ = ["AnswerStore", "StoredResult", "ended_already", "is_own"]
 
-# Prompts and results up to this size lie in the answer's row, larger ones in the object
-# store. One call fewer for the common dossier.
+# Prompts and results up to this size are kept in the answer's row, which saves a call;
+# larger ones in the object store.
 _INLINE_BYTES = 32 * 1024
 
 
 @frozen
 class StoredResult:
-    """An answer that ended, as the store keeps it."""
+    """The stored result of an answer that ended."""
 
     record: AnswerRecord
     tokens: list[int]
@@ -36,11 +36,11 @@
 
 @define(eq=False)
 class AnswerStore:
-    """Writes rows under this incarnation's fence, small bodies in them, large beside.
+    """Writes answers' rows under this incarnation's fence.
 
-    Objects are named by the owner and its order as well as by the request: two entries
-    that were given the same id must not write over each other's prompt, nor a woken
-    owner over its successor's result.
+    Object names contain the owner and its order: two entries with the same request id
+    must not overwrite each other's prompt, nor an owner that was paused its successor's
+    result.
     """
 
     platform: Platform
@@ -50,7 +50,7 @@
     async def put_prompt(
         self, record: AnswerRecord, body: bytes
     ) -> AnswerRecord | TransactOutcome:
-        """Keep the prompt; gives the record that tells where."""
+        """Store the prompt; return the record with its location, or the failure."""
         if len(body) <= _INLINE_BYTES:
             return evolve(record, prompt=b64encode(body).decode())
         name = _object_name("prompts", record)
@@ -58,7 +58,7 @@
         return evolve(record, prompt_object=name) if _done(put) else put
 
     async def insert(self, record: AnswerRecord) -> TransactOutcome:
-        """Put a new answer's row in the table, if its id is new."""
+        """Insert a new answer's row if its id is unused."""
         return await self.batcher.transact(
             Transaction(
                 {record.key: 0, **self.journal.fence()},
@@ -69,7 +69,7 @@
     async def write_end(
         self, record: AnswerRecord, version: int, ledger: Ledger
     ) -> TransactOutcome:
-        """Keep how an answer ended, and when that may be deleted."""
+        """Store how an answer ended, with its result and its expiry."""
         result = orjson.dumps([ledger.tokens_from(0), ledger.texts_from(0)])
         if len(result) <= _INLINE_BYTES:
             record = evolve(record, result=b64encode(result).decode())
@@ -92,7 +92,7 @@
         )
 
     async def drop_prompt(self, record: AnswerRecord) -> None:
-        """Delete a prompt that nobody needs any more."""
+        """Delete the prompt's object, if it has one."""
         if record.prompt_object:
             await self.platform.delete_object(record.prompt_object)
 
@@ -108,7 +108,7 @@
         return None if row is None else (AnswerRecord.from_row(row.value), row.version)
 
     async def result(self, record: AnswerRecord) -> StoredResult | Unavailable:
-        """The tokens of an answer that ended."""
+        """Read the result of an answer that ended."""
         data = b64decode(record.result)
         if record.result_object:
             fetched = await self.platform.get_object(record.result_object)
@@ -122,7 +122,7 @@
 
 
 def is_own(conflict: Conflict, record: AnswerRecord) -> int | None:
-    """The version of a row in the way that is this owner's own, written before."""
+    """The conflicting row's version if this owner wrote it before, else None."""
     row = conflict.rows.get(record.key)
     if row is None:
         return None
@@ -132,7 +132,7 @@
 
 
 def ended_already(conflict: Conflict, record: AnswerRecord) -> bool:
-    """Say whether the row shows this owner's own end, whose answer was lost."""
+    """Whether the conflicting row is this owner's own end, written before."""
     row = conflict.rows.get(record.key)
     if row is None:
         return False
--- a/src/coursekeel/entry/answers/_answer_task.py
+++ b/src/coursekeel/entry/answers/_answer_task.py
@@ -1,6 +1,7 @@
-"""The task that owns one answer: its core, its streams to engines, its readers.
+"""The task of one answer: its core, its streams to engines and its readers.
 
-Relies on `AnswerPlacement` for where runs go, and on `AnswerDriver` to feed the core.
+Relies on `AnswerPlacement` to choose engines, and on `AnswerDriver` to pass events to
+the core.
 """
 
 import math
@@ -62,24 +63,25 @@
 
 __all__ = ["AnswerPorts", "AnswerTask"]
 
-# An alarm this late tells of a pause of this process. Less than the least silence that
-# a profile judges by (`silence_floor_ms`, 400).
+# A timer that fires this late means that this process was paused. Must stay below the
+# shortest silence that marks an endpoint as stalled (`silence_floor_ms`).
 _OWN_PAUSE_MS = 250.0
 _MESSAGES = {
-    "interrupted": "no endpoint could go on with the answer in time",
-    "request_stops_engines": "engines died while they ran this request",
-    "too_late": "the request can't be served in its time",
-    "queue_full": "too many requests wait",
-    "no_endpoint": "no endpoint serves this model now",
-    "cancelled": "the answer was given up",
+    "interrupted": "no endpoint could continue the answer in time",
+    "request_stops_engines": "engines crashed while they ran this request",
+    "too_late": "the request can't be served before its deadline",
+    "queue_full": "too many requests are waiting",
+    "no_endpoint": "no endpoint currently serves this model",
+    "cancelled": "the answer was cancelled",
 }
 
 
 @define(eq=False)
 class AnswerPorts:
-    """What an answer's task is given by its entry.
+    """Dependencies of an answer's task, provided by its entry.
 
-    ``copies`` says whether other engines keep copies of the runs' memory.
+    ``engine`` returns the adapter of an endpoint, or None. ``ended`` and ``run_known``
+    are callbacks. ``copies`` enables copies of the runs' memory on other engines.
     """
 
     reactor: Reactor
@@ -98,7 +100,11 @@
 
 @define(eq=False)
 class AnswerTask(StreamOwner, FollowedAnswer, AnswerShell):
-    """One answer at work. Messages are taken one at a time, in order."""
+    """One running answer. Events are handled one at a time, in order.
+
+    ``stored`` is set once the answer's row is in the store, ``gone`` once another entry
+    owns the answer, ``fenced`` if that entry took it over from this one.
+    """
 
     request: GenerationRequest
     core: AnswerCore[Ledger]
@@ -131,7 +137,7 @@
             self.request, self.core.label, self.ports.metrics, self.arrived_ms
         )
 
-    # What readers see.
+    # Interface for readers.
 
     @property
     def ledger(self) -> Ledger:
@@ -140,70 +146,70 @@
 
     @property
     def ended(self) -> bool:
-        """Say whether nothing more will come."""
+        """Whether the answer produces no more tokens here."""
         return self.core.ended or self.gone
 
     @property
     def settled(self) -> bool:
-        """Say whether this process may end without losing anything of the answer."""
+        """Whether this process may exit without losing any part of the answer."""
         return self.ended and not self.followers and not self.unsettled
 
     @property
     def finish_reason(self) -> str:
-        """Why a finished answer ended where it did."""
+        """The engine's reason for finishing the answer."""
         return self.core.finish_reason
 
     @property
     def deliverable_end(self) -> int:
-        """How many tokens may leave for readers now."""
+        """The number of tokens that may be sent to readers now."""
         if self.journal_end is None:
             return self.ledger.next_position
         return self.journal_end()
 
     def right_left_ms(self) -> float:
-        """How long this entry may speak for the answer from now on."""
+        """How long from now this entry may send tokens; infinite without a lease."""
         return math.inf if self.durable_right_ms is None else self.durable_right_ms()
 
     def follow(self, follower: Follower[Any]) -> None:
-        """Add a reader and give it what there is."""
+        """Add a reader and send it the tokens that are available."""
         self.followers.append(follower)
         follower.wake()
         self._hold_or_read()
 
     def left(self, follower: Follower[Any]) -> None:
-        """A reader left or has everything."""
+        """Remove a reader that disconnected or has received the whole answer."""
         if follower in self.followers:
             self.followers.remove(follower)
         self._hold_or_read()
 
     def left_behind(self) -> None:
-        """A slow reader took some more: the engine may be read again."""
+        """Resume reading from engines if a slow reader has made enough progress."""
         self._hold_or_read()
 
     def wake_followers(self) -> None:
-        """Something that readers see has changed."""
+        """Send readers what became available."""
         for follower in list(self.followers):
             follower.wake()
         self._hold_or_read()
 
-    # Messages.
+    # Events.
 
     def tell(self, event: Event, now_ms: float | None = None) -> None:
-        """Take an event; actions it leads to are carried out before the next one.
+        """Pass an event to the core and carry out the resulting actions.
 
-        ``now_ms`` spares reading the clock twice for a line of tokens.
+        ``now_ms`` is the current time, if the caller has already read the clock.
         """
         if isinstance(event, Started):
             self.begun = True
         self._driver.tell(event, now_ms)
 
     def event_taken(self, event: Event, actions: list[Action]) -> None:
-        """Give back a place that was granted and not taken."""
+        """Return a granted slot that the core did not use."""
         if isinstance(event, Granted):
             self._placement.give_back()
 
     def head(self, attempt: int, head: StreamHead) -> None:
-        """A stream opened."""
+        """Handle the head of an attempt's stream."""
         opened = self._open.get(attempt)
         if opened is not None:
             opened.run_id = head.run_id
@@ -213,7 +219,7 @@
             self.ports.run_known(self, self._open[attempt].endpoint_id, head)
 
     def line(self, attempt: int, line: TokensArrived) -> None:
-        """Tokens came on a stream: its endpoint lives."""
+        """Handle tokens of a stream; they also show that its endpoint is alive."""
         now_ms = self.ports.clock.now_ms()
         opened = self._open.get(attempt)
         if opened is None:
@@ -232,7 +238,7 @@
             router.succeeded(opened.endpoint_id, self.request.policy.name)
 
     def stream_ended(self, attempt: int, loss: Loss) -> None:
-        """A stream is over."""
+        """Handle the end of an attempt's stream."""
         opened = self._open.get(attempt)
         if opened is not None:
             if loss is Loss.REFUSED:
@@ -252,14 +258,14 @@
         self.ports.watch.run_lost(self.request, opened.endpoint_id, sign, engine=True)
 
     def endpoint_silent(self, endpoint_id: str) -> None:
-        """The whole endpoint fell silent."""
+        """Handle the report that an endpoint has stalled on all its streams."""
         if not self._driver.reading_held:
             self.tell(EndpointSilent(endpoint_id))
 
     # Actions.
 
     def carry_out(self, action: Action, now_ms: float) -> None:
-        """Do what the core asks for."""
+        """Carry out an action of the core."""
         match action:
             case Deliver():
                 self._delivered(now_ms)
@@ -308,13 +314,17 @@
             self.tell(Granted(decision.endpoint_id))
 
     def _known_run(self, run: RunState) -> RunState:
-        """Under a caller's key only a stored row proves that nobody else runs it."""
+        """The run state to report to the caller.
+
+        If the caller chose the request id, another entry may run the same request until
+        this entry's row is stored.
+        """
         if run is RunState.NOT_RUN and self.request.keyed and not self.stored:
             return RunState.UNKNOWN
         return run
 
     def _refused_by_routing(self) -> None:
-        """Routing refuses only what never ran, and the refusal is final."""
+        """End the answer; routing only refuses requests that never ran."""
         self.core.withdraw()
         self._end()
 
@@ -347,7 +357,7 @@
         self._open[action.attempt] = opened
 
     def _refuse_barred(self) -> None:
-        """Endpoints ended under what is asked, here or at other entries."""
+        """Refuse a quarantined request: endpoints crashed while they ran it."""
         self.refusal = Refusal(
             "request_stops_engines",
             _MESSAGES["request_stops_engines"],
@@ -358,7 +368,7 @@
         self.tell(Cancelled())
 
     def _place_copy(self, action: OpenAttempt) -> str:
-        """Choose who keeps a copy of this run, and return the engine's address."""
+        """Choose an engine to keep a copy of this run; return its address or empty."""
         if not self.ports.copies:
             return ""
         keeper = self._placement.keeper(action, self.core.bad_endpoints)
@@ -384,7 +394,7 @@
         )
 
     def _may_run_at(self, endpoint_id: str) -> bool:
-        """Say whether a run may begin there, now that its connection stands."""
+        """Whether the run may still start there once its connection is open."""
         may_run = not self.ended and self._leave.may_send()
         return may_run and self._placement.takes_work(endpoint_id)
 
@@ -395,7 +405,7 @@
         opened.stream.close()
         self._let_go(action.attempt)
         engine = self.ports.engine(opened.endpoint_id)
-        # While the right to speak has lapsed, the run may be the next owner's.
+        # After the lease has lapsed the run may belong to the next owner.
         stops_run = action.stops_run and self.may_send()
         if stops_run and opened.run_id and engine is not None:
             spawn(engine.stop(opened.run_id), "stop_run", self.ports.reactor)
@@ -411,9 +421,9 @@
     # Back pressure.
 
     def _hold_or_read(self) -> None:
-        """Hold the engine up while the only readers are far behind.
+        """Pause the streams while even the fastest reader is far behind.
 
-        A durable answer isn't held: it runs to its end without its caller.
+        A stored answer is never paused: it runs to its end without readers.
         """
         if self.stored or self.core.ended or not self.followers:
             lead = 0
@@ -432,7 +442,7 @@
         if not hold:
             self.tell(ReadingResumed())
 
-    # The end.
+    # End of the answer.
 
     def _end(self) -> None:
         self._driver.stop_alarm()
--- a/src/coursekeel/entry/answers/_expiry_task.py
+++ b/src/coursekeel/entry/answers/_expiry_task.py
@@ -1,4 +1,4 @@
-"""The task that deletes what was kept long enough."""
+"""The task that deletes expired answers and claims."""
 
 from random import Random
 
@@ -12,18 +12,17 @@
 
 __all__ = ["ExpiryTask"]
 
-# What has expired is deleted by some entry within about a minute; nobody waits for it.
 _INTERVAL_MS = 30_000
-# Rows of one scan, so that one entry's round stays short.
+# Limit of rows per scan, so that a round stays short.
 _MOST_AT_ONCE = 100
 
 
 @define(eq=False)
 class ExpiryTask:
-    """Deletes answers and claims whose keeping time has passed.
+    """Deletes answers and claims whose retention time has passed.
 
-    Keeping times are by the calendar and coarse; no promise rests on two instances'
-    clocks agreeing. Any entry does this, now and then, so none has to.
+    Uses wall-clock minutes; nothing relies on the instances' clocks agreeing. Every
+    entry does this at randomized intervals.
     """
 
     reactor: Reactor
@@ -38,11 +37,11 @@
         self._loop = Periodic(self.reactor, "expiry", interval_ms, self._round)
 
     def start(self) -> None:
-        """Delete from now on."""
+        """Start deleting expired rows."""
         self._loop.start()
 
     def stop(self) -> None:
-        """Delete no more."""
+        """Stop deleting expired rows."""
         self._loop.stop()
 
     async def _round(self) -> None:
--- a/src/coursekeel/entry/answers/_follower.py
+++ b/src/coursekeel/entry/answers/_follower.py
@@ -1,4 +1,4 @@
-"""Brings one reader up to an answer's end, at the reader's own pace."""
+"""Sends an answer to one reader at the reader's pace."""
 
 from abc import abstractmethod
 from typing import Any, Generic, TypeVar
@@ -10,18 +10,18 @@
 
 __all__ = ["FollowedAnswer", "Follower"]
 
-# Tokens of one event to a caller that is far behind.
+# Limit of tokens in one event.
 _MOST_TOKENS_AN_EVENT = 512
-# A caller that holds a little more than this entry waits for the rest instead of being
-# told to drop it. Some seconds of a stream.
+# A reader that has up to this many more tokens than the ledger waits for the ledger to
+# catch up before it is restarted. A few seconds of a stream.
 _WAIT_AT_MOST_TOKENS = 256
 
 
 class FollowedAnswer(SendingRight):
-    """What a reader sees of an answer.
+    """Interface of an answer for its readers.
 
-    ``stored`` says that the answer outlives its entry, ``gone`` that it isn't this
-    entry's any more, ``fenced`` that another has taken it over.
+    ``stored`` says that the answer's row is in the store, ``gone`` that this entry does
+    not own the answer any more, ``fenced`` that another has taken it over.
     """
 
     stored: bool
@@ -36,21 +36,21 @@
     @property
     @abstractmethod
     def ended(self) -> bool:
-        """Say whether nothing more will come."""
+        """Whether the answer produces no more tokens here."""
 
     @property
     @abstractmethod
     def finish_reason(self) -> str:
-        """Why a finished answer ended where it did."""
+        """The engine's reason for finishing the answer."""
 
     @property
     @abstractmethod
     def deliverable_end(self) -> int:
-        """How many tokens may leave for readers now."""
+        """The number of tokens that may be sent to readers now."""
 
     @abstractmethod
     def left(self, follower: "Follower[Any]") -> None:
-        """A reader left or has everything."""
+        """Remove a reader that disconnected or has received the whole answer."""
 
 
 _AnswerT = TypeVar("_AnswerT", bound=FollowedAnswer)
@@ -58,10 +58,10 @@
 
 @define(eq=False)
 class Follower(Generic[_AnswerT]):
-    """A cursor on a ledger: nothing is buffered for a slow reader but its place.
+    """One reader's position in a ledger; nothing else is buffered for it.
 
-    ``held`` is what the reader says it holds; it is continued only once the ledger has
-    reached that place and the digests agree.
+    ``held`` is the reader's last event id; the reader continues from there if the
+    digest matches the ledger's, otherwise it restarts.
     """
 
     task: _AnswerT
@@ -72,11 +72,11 @@
     _told_stored: bool = False
 
     def wake(self) -> None:
-        """Give the reader what it may have by now."""
+        """Send the reader what is available and may be sent."""
         if self.over or self.sink.full:
             return
         if self.task.gone:
-            # What the ledger gained lately may not be in the answer of the new owner.
+            # The new owner's answer may differ from the ledger's latest tokens.
             self._leave()
             return
         if not self.task.may_send():
@@ -91,10 +91,10 @@
             self._end()
 
     def _verify(self, held: EventId) -> bool:
-        """Settle whether the reader's tokens are a prefix of this ledger's.
+        """Check that the reader's tokens are a prefix of the ledger; restart it if not.
 
-        A ledger that is still shorter can't tell yet. Waiting for it costs the reader
-        some tokens' time and often spares it starting anew.
+        Returns False while the ledger is slightly shorter: waiting for it often avoids
+        a restart.
         """
         ledger = self.task.ledger
         missing = held.position - ledger.next_position
--- a/src/coursekeel/entry/answers/_journal_task.py
+++ b/src/coursekeel/entry/answers/_journal_task.py
@@ -1,7 +1,7 @@
 """The task that owns this instance's lease and writes its journal.
 
-The write that renews the lease also makes the newest segment count, so an instance
-costs the table one write an interval however many answers it holds.
+The write that renews the lease also commits the newest segment, so an instance makes
+one table write per interval regardless of its number of answers.
 """
 
 from collections.abc import Callable
@@ -36,32 +36,32 @@
 
 LEASES_PREFIX = "leases/entry/"
 ORPHANS_PREFIX = "leases/orphan/"
-# Two renewals may be lost before a lease lapses.
+# Two renewals in a row may fail before the lease lapses.
 _RENEWALS_A_LEASE = 3
-# A pause of this process longer than half a lease may be long enough for others: see
+# A pause of this process longer than half a lease may let another entry take over: see
 # `OutageWatch`.
 _GAPS_A_LEASE = 2
-# How often it is noted that this process is awake. Often enough that a late timer is no
-# gap.
+# Checks that this process is awake, often enough that a late timer isn't taken for a
+# pause.
 _BEATS_A_GAP = 5
 
 
 def lease_key(instance_id: str) -> str:
-    """The row by which an instance shows that it lives."""
+    """The key of an instance's lease row."""
     return f"{LEASES_PREFIX}{instance_id}"
 
 
 def alive_key(incarnation: str) -> str:
-    """The row that stands as long as an incarnation may write what it owns.
+    """The key of the row that exists while an incarnation may write its answers.
 
-    Unlike the lease its version never changes, so every write of the incarnation can
-    expect it, and none takes effect once the lease is sealed.
+    Unlike the lease row its version never changes, so every write of the incarnation
+    can expect it; all of them fail once the lease is sealed.
     """
     return f"alive/{incarnation}"
 
 
 def orphan_key(incarnation: str) -> str:
-    """The row that opens a lapsed incarnation's answers to adoption."""
+    """The key of the row that allows adopting a sealed incarnation's answers."""
     return f"{ORPHANS_PREFIX}{incarnation}"
 
 
@@ -69,8 +69,10 @@
 class JournalTask:
     """One incarnation's lease and journal.
 
-    ``fenced`` is called when the lease turns out to be another's: every durable answer
-    of this incarnation then belongs to those who adopt it.
+    ``fenced`` is called when the lease is lost: the durable answers of this incarnation
+    then belong to the entries that adopt them. ``gained`` is called with the keys of
+    the answers that have more tokens in the journal, or with an empty list after the
+    time for sending was extended; ``taken`` when the lease is acquired.
     """
 
     reactor: Reactor
@@ -106,25 +108,25 @@
         )
 
     def start(self) -> None:
-        """Take the lease, then renew it and write segments from then on."""
+        """Acquire the lease, then renew it and write segments periodically."""
         self._beat.start()
         self._loop.start()
 
     def fence(self) -> dict[str, int]:
-        """What every write of this incarnation expects of the table."""
+        """The row version that every write of this incarnation must expect."""
         return {alive_key(self.incarnation): self._alive_version}
 
     @property
     def held(self) -> bool:
-        """Say whether the table was seen to hold this incarnation's lease."""
+        """Whether the table is known to hold this incarnation's lease."""
         return self._version is not None
 
     def right_left_ms(self) -> float:
-        """How long this entry may speak for durable answers, unless it asks again.
+        """How long from now this entry may send durable answers without a renewal.
 
-        After a pause longer than the lease nothing is left until the table answers:
-        others may have taken over meanwhile. While the store is out nobody can have, if
-        this process saw it being out all the time.
+        Zero or less after a pause longer than the lease, until the table responds, as
+        another entry may have taken over. During a store outage that this process
+        observed without a pause no other entry can take over, so the time is extended.
         """
         left_ms = self._permitted_until_ms - self.clock.now_ms()
         if left_ms <= 0:
@@ -132,7 +134,7 @@
         return left_ms
 
     async def stop(self) -> None:
-        """Write what is left and free the lease, so that nobody waits for it."""
+        """Write the remaining segment and delete the lease row."""
         self._loop.stop()
         self._beat.stop()
         self._stopping = True
@@ -160,10 +162,10 @@
         age_ms = self.clock.now_ms() - self._renewed_ms
         return age_ms >= self.timers.lease_ms / _RENEWALS_A_LEASE
 
-    # Taking the lease.
+    # Acquiring the lease.
 
     async def _take(self) -> None:
-        """Take the lease row; a former life's answers are opened to adoption."""
+        """Write the lease row; seal the instance's previous incarnation."""
         asked_ms = self.clock.now_ms()
         key = lease_key(self.instance_id)
         alive = alive_key(self.incarnation)
@@ -253,7 +255,7 @@
     async def _conflicted(
         self, row: Row | None, segment: Segment | None, asked_ms: float
     ) -> None:
-        """The row isn't as this incarnation last saw it: was it its own late write?"""
+        """Compare the lease row with the last write, whose outcome is unclear."""
         if row is None or row.value["incarnation"] != self.incarnation:
             self._lost()
             return
@@ -283,10 +285,10 @@
         self.gained([])
 
     def _note_outage(self, asked_ms: float) -> None:
-        """Nobody can take over while the table is out, so sending may go on.
+        """Extend the time for sending during an outage: no entry can take over then.
 
-        That isn't known after a pause of this process, if its lease stood before: the
-        table may have been out for a moment only.
+        Not after a pause of this process while it held a lease: the table may have been
+        available meanwhile.
         """
         self._outage.awake(self.clock.now_ms())
         counts = self._outage.outage_counts or not self.held
@@ -298,21 +300,21 @@
             self.gained([])
 
     def begin_again(self, incarnation: str) -> None:
-        """Start a new life under a new name; the old one's journal is others' now."""
+        """Start a new incarnation with an empty journal."""
         self.incarnation = incarnation
         self.writer = JournalWriter(incarnation)
         self._renewed_ms = float("-inf")
         self._loop.start()
 
     def leave_to_successor(self, key: str) -> None:
-        """An answer is another's; what the journal holds of it stays for the adopters.
+        """Stop journaling an answer that another entry took over; keep its segments.
 
-        The segments are swept with all of this incarnation's once it is adopted.
+        They are deleted after all of this incarnation's answers were adopted.
         """
         self.writer.forget(key)
 
     def forget(self, key: str) -> None:
-        """An answer is settled; segments that only spoke of it are deleted."""
+        """Stop journaling an answer; delete segments that only hold its entries."""
         for object_key in self.writer.forget(key):
             spawn(self._delete(object_key), "delete_segment", self.reactor)
 
@@ -321,11 +323,11 @@
 
 
 def _orphaned(row: Row) -> dict[str, dict[str, Any] | None]:
-    """What opens the lease's answers to adoption, written as the lease goes."""
+    """The writes that accompany deleting a lease row and allow adoption."""
     incarnation = row.value["incarnation"]
     return {orphan_key(incarnation): dict(row.value), alive_key(incarnation): None}
 
 
 def seal(row: Row) -> Transaction:
-    """End a lapsed incarnation: its next renewal fails, its answers may be adopted."""
+    """Seal an incarnation: its next renewal fails, its answers may be adopted."""
     return Transaction({row.key: row.version}, {row.key: None, **_orphaned(row)})
--- a/src/coursekeel/entry/answers/_open_stream.py
+++ b/src/coursekeel/entry/answers/_open_stream.py
@@ -1,4 +1,4 @@
-"""A stream of one attempt, and who is told what it says."""
+"""The stream of one attempt, and the interface of the answer that owns it."""
 
 from abc import ABC, abstractmethod
 
@@ -11,31 +11,31 @@
 
 
 class StreamOwner(ABC):
-    """The answer that an attempt's stream belongs to."""
+    """Interface of an answer for its attempts' streams."""
 
     @abstractmethod
     def tell(self, event: Event, now_ms: float | None = None) -> None:
-        """Take a message of the stream."""
+        """Handle an event; ``now_ms`` is the current time if already read."""
 
     @abstractmethod
     def head(self, attempt: int, head: StreamHead) -> None:
-        """A stream opened."""
+        """Handle the head of an attempt's stream."""
 
     @abstractmethod
     def line(self, attempt: int, line: TokensArrived) -> None:
-        """Tokens came on a stream: its endpoint lives."""
+        """Handle tokens of a stream."""
 
     @abstractmethod
     def stream_ended(self, attempt: int, loss: Loss) -> None:
-        """A stream is over."""
+        """Handle the end of an attempt's stream."""
 
 
 @define(eq=False)
 class OpenStream:
-    """A stream under way, and the place at its endpoint that it holds.
+    """An open stream, and whether it holds a slot of its endpoint.
 
-    ``begins`` says that its run begins with it; ``head_ms`` and ``first_ms`` are when
-    its head and its first line came.
+    ``begins`` says that the stream started its run; ``head_ms`` and ``first_ms`` are
+    the times of its head and its first tokens.
     """
 
     endpoint_id: str
@@ -49,7 +49,7 @@
 
 
 class AttemptListener(StreamListener):
-    """Turns a stream's calls into its answer's messages."""
+    """Turns a stream's callbacks into its answer's events."""
 
     __slots__ = ("_attempt", "_owner")
 
@@ -58,20 +58,20 @@
         self._attempt = attempt
 
     def head(self, head: StreamHead) -> None:
-        """The stream said what serves it."""
+        """Handle the stream's head."""
         self._owner.head(self._attempt, head)
 
     def tokens(
         self, run_id: str, position: int, tokens: list[int], texts: list[str]
     ) -> None:
-        """Tokens of a run came that stand at ``position`` and after."""
+        """Handle tokens of a run, the first of them at ``position``."""
         line = TokensArrived(self._attempt, run_id, position, tokens, texts)
         self._owner.line(self._attempt, line)
 
     def finish(self, run_id: str, position: int, reason: str) -> None:
-        """The engine's own finish marker came."""
+        """Handle the engine's finish marker."""
         self._owner.tell(FinishArrived(self._attempt, run_id, position, reason))
 
     def ended(self, loss: Loss) -> None:
-        """The stream is over, whether or not a finish marker came before."""
+        """Handle the end of the stream, with or without a finish marker."""
         self._owner.stream_ended(self._attempt, loss)
--- a/src/coursekeel/entry/answers/_reader.py
+++ b/src/coursekeel/entry/answers/_reader.py
@@ -1,4 +1,4 @@
-"""Finds an answer wherever it is, and keeps a caller on it when it moves."""
+"""Finds the owner of an answer for a caller, again whenever the owner changes."""
 
 import logging
 from enum import Enum
@@ -23,14 +23,17 @@
 
 __all__ = ["AnswerReader", "CallerSink", "ReaderPorts", "instance_of"]
 
-# Between two looks for an answer's owner.
+# Delay between two lookups of an answer's owner.
 _LOOK_AGAIN_S = 0.1
-# An owner that doesn't reply for so long is looked for again: it may be frozen.
+# The owner is looked up again if its first reply takes longer: it may be paused.
 _FIRST_REPLY_S = 1.5
 
 
 class CallerSink(Protocol):
-    """A sink that a caller reads, with what it holds so far."""
+    """A sink whose reader is a caller; ``held`` is the caller's last event id.
+
+    The reader sets the callbacks ``wake`` and ``source_moved``.
+    """
 
     over: bool
     held: EventId | None
@@ -46,7 +49,7 @@
 
 @define(eq=False)
 class ReaderPorts:
-    """What readers are given by their entry."""
+    """Dependencies of readers, provided by their entry."""
 
     reactor: Reactor
     clock: Clock
@@ -58,13 +61,13 @@
 
 
 def instance_of(incarnation: str) -> str:
-    """The instance that an incarnation or a generation's name belongs to."""
+    """The instance id that an incarnation's or generation's name begins with."""
     return incarnation.partition("~")[0]
 
 
 @define(eq=False)
 class AnswerReader:
-    """One caller's way through one answer, over whatever entries drive it."""
+    """Sends one answer to one caller, from whichever entry owns it."""
 
     ports: ReaderPorts
     team: str
@@ -74,7 +77,7 @@
     _moved: "Deferred[None] | None" = field(default=None)
 
     async def read(self) -> bool:
-        """Bring the caller to the end of the answer; False if there is no answer."""
+        """Send the answer to its end; return False if there is no such answer."""
         give_up_ms = self.ports.clock.now_ms() + self.ports.patience_ms
         while not self.sink.over:
             task = self.ports.registry.find(self.team, self.request_id)
@@ -95,7 +98,7 @@
         return True
 
     async def follow(self, task: AnswerTask) -> None:
-        """Read from an answer that is driven here, until it ends or moves."""
+        """Send an answer that this entry runs, until it ends or moves."""
         ended: Deferred[None] = Deferred()
         self._moved = ended
         follower = Follower(task, self.sink, self.sink.held)
@@ -113,7 +116,7 @@
         follower.task.left_behind()
 
     def sink_closed(self) -> None:
-        """The caller left, or has its final word."""
+        """Detach from the answer: the caller left or has received its end."""
         follower, self._follower = self._follower, None
         if follower is not None:
             follower.over = True
@@ -126,7 +129,7 @@
         if not ended.called:
             ended.callback(None)
 
-    # Elsewhere.
+    # Answers of other entries.
 
     async def _elsewhere(self) -> _Found:
         self.sink.guard_by(None)
@@ -142,7 +145,7 @@
         return await self._relay(owner, record.owner)
 
     async def _by_hint(self, store_out: bool) -> _Found:
-        """Without a row, what the caller holds still names the entry that made it."""
+        """Without a row, try the entry whose generation the caller has read."""
         held = self.sink.held
         owner = instance_of(held.generation) if held is not None else ""
         if owner and owner != self.ports.instance_id:
@@ -152,7 +155,10 @@
         return _Found.LOOK_AGAIN if store_out else _Found.ABSENT
 
     async def _relay(self, owner: str, incarnation: str) -> _Found:
-        """Read through the entry that drives the answer."""
+        """Send the answer through the entry that owns it.
+
+        ``incarnation`` is sealed if the owner refuses connections; empty if unknown.
+        """
         clock = self.ports.clock
         relay = _Relay(self.sink, clock, RelayFreshness(clock.now_ms()))
         request = relay_request(self.team, self.request_id, self.sink.held)
@@ -163,7 +169,7 @@
         try:
             outcome = await done
         except CancelledError:
-            # No first reply came in time: the owner is looked for again.
+            # No first reply in time: the owner is looked up again.
             outcome = None
         except Exception as failure:
             log_event(
@@ -185,7 +191,7 @@
         return _Found.SERVED if relay.served else _Found.LOOK_AGAIN
 
     async def _replay(self, record: AnswerRecord) -> _Found:
-        """Give what the store keeps of an answer that ended."""
+        """Send an answer that ended from the store."""
         result = await self.ports.registry.store.result(record)
         if isinstance(result, Unavailable):
             return _Found.LOOK_AGAIN
@@ -216,7 +222,7 @@
     def _give_up(self) -> None:
         refusal = Refusal(
             "answer_unreachable",
-            "the answer's owner and the store can't be reached now",
+            "neither the answer's owner nor the store can be reached",
             RunState.UNKNOWN,
             2_000,
         )
@@ -231,7 +237,9 @@
 
 @define(eq=False)
 class _Relay:
-    """One relay's progress: whether the peer had the answer, and its first word."""
+    """State of one relay; ``first`` is set by the first reply, ``served`` by the first
+    one that was accepted.
+    """
 
     sink: AnswerSink
     clock: Clock
--- a/src/coursekeel/entry/answers/_relay.py
+++ b/src/coursekeel/entry/answers/_relay.py
@@ -1,10 +1,9 @@
-"""Answers between entries: one relays to its caller what another drives.
+"""Relaying between entries: one sends its caller the answer that another owns.
 
-The owner looks whether it may still speak as each reply goes, and says how long it may.
-The relaying entry passes a reply on only if it comes within that time of the reply
-before: between its look and its send the owner may have been paused, and the answer may
-be another's by now. Guards against: a relay passed a token of the former owner on in 2
-of 2 plays of `test_a_token_under_way_to_a_relay_…`.
+The owner checks its lease as it sends each reply, and sends the remaining lease time.
+The relaying entry drops a reply that arrives later than that after the previous reply:
+the owner may have been paused between its check and its send, and another entry may
+have taken the answer over meanwhile.
 """
 
 import asyncio
@@ -34,35 +33,35 @@
     "take_reply",
 ]
 
-# Replies held for a slow reader before its peer is held up.
+# Replies queued for a slow reader before the follower pauses.
 _MOST_WAITING = 64
 
 
 class RelaySink(AnswerSink):
-    """Turns an answer into replies to the peer; a slow peer holds nothing but 64."""
+    """Queues an answer as replies to a peer; is `full` while the peer is slow."""
 
     def __init__(self) -> None:
         self._replies: asyncio.Queue[Any] = asyncio.Queue()
         self._over = False
 
     def guard_by(self, right: SendingRight | None) -> None:
-        """Nothing to do: each reply is looked at again when it goes."""
+        """Do nothing: `serve_follow` checks the lease as it sends each reply."""
 
     @property
     def full(self) -> bool:
-        """Say whether the peer is slow."""
+        """Whether the queue is full or the stream is over."""
         return self._over or self._replies.qsize() >= _MOST_WAITING
 
     def stored(self) -> None:
-        """Tell that the request is safe."""
+        """Send that the request is stored."""
         self._put(stored=True)
 
     def restart(self, generation: str) -> None:
-        """Tell that another generation starts."""
+        """Send that another generation starts."""
         self._put(restart=True, generation=generation)
 
     def tokens(self, upto: EventId, tokens: list[int], text: str) -> None:
-        """Pass tokens on."""
+        """Send tokens."""
         self._put(
             generation=upto.generation,
             position=upto.position,
@@ -72,7 +71,7 @@
         )
 
     def finish(self, reason: str, upto: EventId) -> None:
-        """Pass the end on."""
+        """Send the finish reason."""
         self._put(
             finish_reason=reason,
             generation=upto.generation,
@@ -82,7 +81,7 @@
         self._over = True
 
     def refuse(self, refusal: Refusal) -> None:
-        """Pass the final word on."""
+        """Send the refusal."""
         self._put(
             error_code=refusal.code,
             text=refusal.message,
@@ -93,11 +92,11 @@
         self._over = True
 
     def come_back(self) -> None:
-        """The peer asks the table again on its reader's behalf."""
+        """Make the peer look up the answer's owner again for its reader."""
         self.moved()
 
     def moved(self) -> None:
-        """Tell that this entry no longer drives the answer."""
+        """Send that this entry no longer owns the answer."""
         self._put(moved=True)
         self._over = True
 
@@ -106,23 +105,23 @@
 
     @property
     def drained(self) -> bool:
-        """Say whether everything was passed on and nothing will come."""
+        """Whether the last reply has been taken from the queue."""
         return self._over and self._replies.empty()
 
     async def next_reply(self) -> Any:
-        """The next reply to pass on."""
+        """Wait for the next reply to send."""
         return await self._replies.get()
 
 
 def held_in(request: Any) -> EventId | None:
-    """What the reader holds, as the request says it."""
+    """The reader's last event id in a follow request, or None."""
     if not request.generation:
         return None
     return EventId(request.generation, request.position, request.digest)
 
 
 def relay_request(team: str, request_id: str, held: EventId | None) -> Any:
-    """A request to follow an answer from what the reader holds."""
+    """Build a request to follow an answer after the event id ``held``."""
     request = peer_pb2.FollowRequest(team=team, request_id=request_id)
     if held is not None:
         request.generation = held.generation
@@ -134,7 +133,7 @@
 async def serve_follow(
     request: Any, find: Callable[[str, str], AnswerTask | None]
 ) -> AsyncIterator[Any]:
-    """The replies to one follow request."""
+    """Yield the replies to a follow request; ``find`` looks up local answers."""
     task = find(request.team, request.request_id)
     if task is None or task.gone:
         yield peer_pb2.FollowReply(found=False)
@@ -156,7 +155,7 @@
 
 
 async def _vouched_for(reply: Any, right: SendingRight) -> Any:
-    """The reply, once this entry may speak; if it never may again, that instead."""
+    """Wait until the reply may be sent; return "moved" if it never may be."""
     while not right.gone:
         left_ms = right.right_left_ms()
         if left_ms > 0:
@@ -168,11 +167,12 @@
 
 @define
 class RelayFreshness:
-    """Judges an owner's replies by when they come; ``asked_ms`` is when it was asked.
+    """Checks by arrival times that an owner's replies were sent under its lease.
 
-    A reply was looked at after the one before it had been sent. So if both come within
-    the right's time, the right stood when the second came; what the first needed on the
-    network is covered by the margin that successors wait.
+    ``asked_ms`` is the time of the request. The owner checks its lease for a reply
+    after it sent the previous one. So if both arrive within the lease time that the
+    second states, the lease was valid on its arrival; the margin that successors wait
+    covers the network delay of the first.
     """
 
     asked_ms: float
@@ -182,13 +182,13 @@
         self._heard_ms = self.asked_ms
 
     def vouches_for(self, reply: Any, now_ms: float) -> bool:
-        """Say whether a reply that comes now may be passed on."""
+        """Whether a reply that arrives now may be sent to the caller."""
         silent_ms, self._heard_ms = now_ms - self._heard_ms, now_ms
         return not reply.right_ms or silent_ms < reply.right_ms
 
 
 def take_reply(reply: Any, sink: AnswerSink) -> bool:
-    """Give a peer's reply to a sink; False once nothing more is to come."""
+    """Pass a peer's reply to a sink; return False if it is the last one."""
     if reply.stored:
         sink.stored()
     if reply.restart:
--- a/src/coursekeel/entry/answers/_requests.py
+++ b/src/coursekeel/entry/answers/_requests.py
@@ -1,4 +1,4 @@
-"""Read a caller's generation request, checked before anything is done for it."""
+"""Parses and validates generation requests."""
 
 from functools import cached_property
 from typing import Any
@@ -13,23 +13,24 @@
 
 __all__ = ["GenerationRequest", "read_generation", "text_tokens"]
 
-# What the completions interface that callers know gives when none is named.
+# The default of the OpenAI completions API.
 _DEFAULT_MAX_TOKENS = 16
-# The field's rule of thumb for English text. It only weighs requests against each
-# other; engines count for themselves.
+# Usual estimate for English text, only for comparing requests' costs; engines count
+# exactly.
 _CHARACTERS_PER_TOKEN = 4
-# What a photograph weighs beside text.
+# Estimated cost of an image.
 _TOKENS_PER_IMAGE = 512
-# Prompts that share so much are sent to the same endpoint first. About a system prompt.
+# Prompts with the same prefix of this length prefer the same endpoint: about the length
+# of a system prompt.
 _PREFIX_CHARACTERS = 1_024
 
 
 @frozen
 class GenerationRequest:
-    """One checked request. ``body`` is what came, byte for byte; it is held once.
+    """One valid request; ``body`` is the original bytes.
 
-    ``keyed`` says whether the caller gave the request id, so that another entry may
-    know of it too.
+    ``keyed`` says whether the caller chose the request id, so that another entry may
+    have received the same request.
     """
 
     team: TeamIntent
@@ -46,7 +47,7 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """The same for what the same team asks again, whatever its id and entry."""
+        """Fingerprint of team and body, equal for repeated requests at any entry."""
         return request_fingerprint(self.team.name, b"generation", self.body)
 
 
@@ -58,7 +59,7 @@
     keyed: bool,
     most_tokens: int,
 ) -> GenerationRequest:
-    """Check a request; raises `RequestInvalid` with the path of the field at fault."""
+    """Parse a request; raises `RequestInvalid` with the path of the invalid field."""
     try:
         raw = orjson.loads(body)
     except ValueError as failure:
@@ -114,7 +115,7 @@
 
 
 def _prompt(prompt: Any, path: str) -> tuple[int, str]:
-    """About how many tokens the prompt has, and the text it starts with."""
+    """The estimated number of tokens, and the text for the prefix key."""
     if isinstance(prompt, str) and prompt:
         return text_tokens(prompt), prompt
     if isinstance(prompt, list) and prompt:
@@ -153,12 +154,12 @@
 def _image_mark(image: dict[str, Any], path: str) -> str:
     url = image.get("url")
     if not isinstance(url, str) or not url.startswith("data:"):
-        # Fetching what a caller names would let it reach into the platform's network.
+        # Fetching a caller's URL would give it access to the platform's network.
         expected = "expected the image itself as a data: URL"
         raise RequestInvalid(f"{path}.image_url.url", f"{expected}, got {url!r:.40}")
     return xxhash.xxh64_hexdigest(url.encode())
 
 
 def text_tokens(text: str) -> int:
-    """About how many tokens a text has."""
+    """The estimated number of tokens of a text."""
     return max(1, len(text) // _CHARACTERS_PER_TOKEN)
--- a/src/coursekeel/entry/answers/_sinks.py
+++ b/src/coursekeel/entry/answers/_sinks.py
@@ -1,4 +1,4 @@
-"""Where an answer goes: the interface that callers' and peers' streams share."""
+"""Interface of answer streams to callers and peers."""
 
 from abc import ABC, abstractmethod
 
@@ -8,14 +8,18 @@
 
 __all__ = ["HELD_LOOK_S", "AnswerSink", "Refusal", "SendingRight"]
 
-# How often a right that has lapsed is asked for again while something waits for it; the
-# table is asked each time, too. It answers within some ms.
+# Interval of checks for a lapsed lease while output waits for it. Each check also
+# starts a renewal.
 HELD_LOOK_S = 0.05
 
 
 @frozen
 class Refusal:
-    """A final word that isn't the answer. ``run`` is what is known of the request."""
+    """A final error instead of the answer's end.
+
+    ``run`` says whether the request may have run, ``held_tokens`` how many tokens it
+    has produced.
+    """
 
     code: str
     message: str
@@ -25,60 +29,63 @@
 
 
 class SendingRight(ABC):
-    """Whether an answer may still be spoken for here; it changes while nobody looks.
+    """Whether this entry may send an answer now; changes with time, so check each time.
 
-    ``gone`` says that it never will be again.
+    ``gone`` says that it never may again.
     """
 
     gone: bool
 
     @abstractmethod
     def right_left_ms(self) -> float:
-        """How long the right lasts from now on, unless it is renewed; at most 0 if it
-        has lapsed.
+        """How long from now sending is allowed without a renewal; at most 0 if it has
+        lapsed.
         """
 
     def may_send(self) -> bool:
-        """Say whether this entry may speak for the answer now."""
+        """Whether this entry may send the answer now."""
         return self.right_left_ms() > 0
 
 
 class AnswerSink(ABC):
-    """Takes one answer, in order; after `finish`, `refuse` or `moved` nothing comes."""
+    """Receives one answer.
+
+    The last call is `finish`, `refuse`, `come_back` or `moved`.
+    """
 
     @abstractmethod
     def guard_by(self, right: SendingRight | None) -> None:
-        """What follows is said under this right; under none it leaves freely."""
+        """Send all further output only while ``right`` allows it; None is no limit."""
 
     @property
     @abstractmethod
     def full(self) -> bool:
-        """Say whether the reader is slow and nothing should be given for now."""
+        """Whether the reader is slow and the sink should get nothing for now."""
 
     @abstractmethod
     def stored(self) -> None:
-        """The request is safe in the store: it will be carried to its end."""
+        """Report that the request is stored and will be completed."""
 
     @abstractmethod
     def restart(self, generation: str) -> None:
-        """The reader must drop what it holds: another generation starts at 0."""
+        """Make the reader drop its tokens: another generation starts at 0."""
 
     @abstractmethod
     def tokens(self, upto: EventId, tokens: list[int], text: str) -> None:
-        """Tokens that bring the reader up to ``upto``."""
+        """Send tokens and their text; ``upto`` is the event id after them."""
 
     @abstractmethod
     def finish(self, reason: str, upto: EventId) -> None:
-        """The answer is whole."""
+        """Report that the answer is complete."""
 
     @abstractmethod
     def refuse(self, refusal: Refusal) -> None:
-        """The answer will not be given, or not further."""
+        """Report that the answer won't be completed."""
 
     @abstractmethod
     def come_back(self) -> None:
-        """This entry lost the answer to another: the reader must ask again."""
+        """End the stream: another entry took the answer over, the reader must retry."""
 
     @abstractmethod
     def moved(self) -> None:
-        """Another entry owns the answer now: ask again."""
+        """End the stream: another entry owns the answer."""
