--- a/src/coursekeel/entry/_calls_task.py
+++ b/src/coursekeel/entry/_calls_task.py
@@ -56,7 +56,7 @@
 __all__ = ["CallRequest", "CallsTask"]
 
 # Retries of writing a call's result, for about half a minute of a store outage.
-_RECORD_TRIES = 30
+_RECORD_RETRIES = 30
 _RECORD_PAUSE_S = 1.0
 _SAFE_METHODS = ("GET", "HEAD")
 
@@ -77,12 +77,12 @@
     @property
     def route(self) -> RouteIntent | None:
         """The matching route with the longest path prefix, or None."""
-        fitting = [
-            each
-            for each in self.service.routes
-            if self.method in each.methods and self.path.startswith(each.path_prefix)
+        matching = [
+            route
+            for route in self.service.routes
+            if self.method in route.methods and self.path.startswith(route.path_prefix)
         ]
-        return max(fitting, key=lambda each: len(each.path_prefix), default=None)
+        return max(matching, key=lambda route: len(route.path_prefix), default=None)
 
     @property
     def repeatable(self) -> bool:
@@ -94,8 +94,8 @@
     def fingerprint(self) -> str:
         """Fingerprint of the call, equal for repeated calls with any key or entry."""
         service = self.service.name.encode()
-        asked = (b"call", service, self.method.encode(), self.path.encode(), self.body)
-        return request_fingerprint(self.team.name, *asked)
+        parts = (b"call", service, self.method.encode(), self.path.encode(), self.body)
+        return request_fingerprint(self.team.name, *parts)
 
 
 @define(eq=False)
@@ -103,13 +103,13 @@
     """A running call: its quarantine pass, its reply, the endpoints tried."""
 
     request: CallRequest
-    leave: QuarantinePass
+    quarantine_pass: QuarantinePass
     reply: "Deferred[CallReply]" = field(factory=Deferred)
     tried: set[str] = field(factory=set)
 
-    def answer(self, reply: CallReply) -> None:
+    def send_reply(self, reply: CallReply) -> None:
         """Send the final reply; names the quarantine if it left no endpoint."""
-        barred_ms = self.leave.barred_ms
+        barred_ms = self.quarantine_pass.barred_ms
         if reply.code == "no_endpoint" and barred_ms:
             reply = evolve(
                 reply,
@@ -149,14 +149,14 @@
         """Run one call and wait for its reply."""
         core = CallCore(
             CallPolicy(request.repeatable, retry_after_ms=1_000),
-            self._claim(request),
+            self._new_claim(request),
             keyed=bool(request.key),
         )
         run = _CallRun(request, QuarantinePass(self.gate, request))
         spawn(self._run(core, run), "call", self.reactor)
         return await run.reply
 
-    def _claim(self, request: CallRequest) -> ClaimRow | None:
+    def _new_claim(self, request: CallRequest) -> ClaimRow | None:
         if request.repeatable or not request.key:
             return None
         return ClaimRow(
@@ -186,9 +186,9 @@
             case Send():
                 return SendEnded(await self._send(run))
             case Record():
-                return Recorded(await self._record(action))
+                return Recorded(await self._record_outcome(action))
             case Reply():
-                run.answer(action.reply)
+                run.send_reply(action.reply)
                 return None
 
     async def _write_claim(self, row: ClaimRow) -> TransactOutcome:
@@ -197,7 +197,7 @@
             Transaction({row.key: 0}, {row.key: row.to_row(), due: {"key": row.key}})
         )
 
-    async def _record(self, action: Record) -> TransactOutcome:
+    async def _record_outcome(self, action: Record) -> TransactOutcome:
         """Store the call's outcome; retries a failed write unless it is a refusal."""
         write = Transaction(
             {action.row.key: action.version}, {action.row.key: action.row.to_row()}
@@ -205,11 +205,11 @@
         outcome = await self.batcher.transact(write)
         if isinstance(outcome, Committed) or action.row.state.value == "refused":
             return outcome
-        spawn(self._record_later(write), "record_call", self.reactor)
+        spawn(self._retry_record(write), "record_call", self.reactor)
         return outcome
 
-    async def _record_later(self, write: Transaction) -> None:
-        for _ in range(_RECORD_TRIES):
+    async def _retry_record(self, write: Transaction) -> None:
+        for _ in range(_RECORD_RETRIES):
             await deferLater(self.reactor, _RECORD_PAUSE_S)
             outcome = await self.batcher.transact(write)
             if isinstance(outcome, Committed):
@@ -219,7 +219,7 @@
     # Sending.
 
     async def _send(self, run: _CallRun) -> ServiceReply | SendOutcome:
-        if not run.leave.may_send():
+        if not run.quarantine_pass.may_send():
             return SendOutcome.NO_ENDPOINT
         deadline_ms = self.clock.now_ms() + run.request.policy.patience_ms
         decision = await self._find_endpoint(run, deadline_ms)
@@ -235,7 +235,7 @@
 
     def _find_endpoint(self, run: _CallRun, deadline_ms: float) -> "Deferred[Decision]":
         request = run.request
-        decided: Deferred[Decision] = Deferred()
+        decision: Deferred[Decision] = Deferred()
         placement = PlacementRequest(
             team=request.team.name,
             request_class=request.policy.name,
@@ -246,8 +246,8 @@
             weight=request.team.weight,
             excluded=frozenset(run.tried),
         )
-        self.routing.place(placement, decided.callback)
-        return decided
+        self.routing.place(placement, decision.callback)
+        return decision
 
     async def _send_to(
         self, endpoint_id: str, run: _CallRun, deadline_ms: float
@@ -258,7 +258,7 @@
             """Repeat the checks once the connection is open."""
             now_ms = self.clock.now_ms()
             may_take = self.routing.router.may_take(endpoint_id, now_ms)
-            return may_take and now_ms < deadline_ms and run.leave.may_send()
+            return may_take and now_ms < deadline_ms and run.quarantine_pass.may_send()
 
         headers = {"content-type": request.content_type or "application/octet-stream"}
         if request.key:
--- a/src/coursekeel/entry/answers/_adoption_task.py
+++ b/src/coursekeel/entry/answers/_adoption_task.py
@@ -22,7 +22,7 @@
     ORPHANS_PREFIX,
     lease_key,
     orphan_key,
-    seal,
+    seal_transaction,
 )
 from coursekeel.entry.answers._requests import GenerationRequest, read_generation
 from coursekeel.entry.control._configuration_task import ConfigurationTask
@@ -44,16 +44,16 @@
 __all__ = ["AdoptionTask"]
 
 # Scans per lease time; each scan reads the rows of all entries.
-_LOOKS_A_LEASE = 3
-_BOTH_PREFIX = "leases/"
+_CHECKS_PER_LEASE = 3
+_LEASES_AND_ORPHANS_PREFIX = "leases/"
 # Limit of rows per scan: more than the 380 nodes of docs/CAPACITY.md.
-_MOST_LEASES = 1_000
+_MAX_ROWS_PER_SCAN = 1_000
 # Limit of sealed incarnations per round, so that the answers of a whole site's restart
 # are adopted in steps.
-_MOST_ORPHANS = 16
+_MAX_ORPHANS_PER_ROUND = 16
 # How long an incarnation's segments stay after its last answer was adopted. They are
 # needed until the adopters' own journals hold the tokens.
-_GARBAGE_AFTER_S = 60.0
+_SEGMENT_RETENTION_S = 60.0
 
 
 @define(eq=False)
@@ -77,7 +77,7 @@
     _loop: Periodic = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        step_ms = self.timers.lease_ms / _LOOKS_A_LEASE
+        step_ms = self.timers.lease_ms / _CHECKS_PER_LEASE
         terms = LeaseTerms(self.timers.lease_ms, self.timers.lease_margin_ms)
         self._watch = LapseWatch(terms, step_ms)
         self._loop = Periodic(self.reactor, "adoption", step_ms, self._round)
@@ -92,17 +92,17 @@
 
     async def _round(self) -> None:
         # One scan for leases and orphans keeps the idle load on the store low.
-        rows = await self.platform.scan(_BOTH_PREFIX, _MOST_LEASES)
+        rows = await self.platform.scan(_LEASES_AND_ORPHANS_PREFIX, _MAX_ROWS_PER_SCAN)
         if isinstance(rows, Unavailable):
             return
-        await self._look_at_leases(_under(rows, LEASES_PREFIX))
+        await self._check_leases(_rows_under(rows, LEASES_PREFIX))
         if self.configuration.ready:
-            for orphan in _under(rows, ORPHANS_PREFIX)[:_MOST_ORPHANS]:
-                await self._adopt_some(orphan)
+            for orphan in _rows_under(rows, ORPHANS_PREFIX)[:_MAX_ORPHANS_PER_ROUND]:
+                await self._adopt_from(orphan)
 
     # Leases.
 
-    async def _look_at_leases(self, leases: list[Row]) -> None:
+    async def _check_leases(self, leases: list[Row]) -> None:
         now_ms = self.clock.now_ms()
         for row in leases:
             key = row.key
@@ -114,14 +114,14 @@
 
     async def _seal(self, row: Row) -> bool:
         """Seal the incarnation of a lease row; say whether it succeeded."""
-        outcome = await self.platform.transact(seal(row))
+        outcome = await self.platform.transact(seal_transaction(row))
         self._watch.forget(row.key)
         sealed = isinstance(outcome, Committed)
         if sealed:
             log_event("incarnation_sealed", incarnation=row.value["incarnation"])
         return sealed
 
-    async def seal_refusing(self, instance_id: str, incarnation: str) -> None:
+    async def seal_unreachable(self, instance_id: str, incarnation: str) -> None:
         """Seal an incarnation whose address refused a connection: it has exited."""
         rows = await self.platform.read([lease_key(instance_id)])
         if isinstance(rows, Unavailable):
@@ -132,7 +132,7 @@
 
     # Orphans.
 
-    async def _adopt_some(self, orphan: Row) -> None:
+    async def _adopt_from(self, orphan: Row) -> None:
         incarnation = orphan.value["incarnation"]
         # Draws half of the oldest rows at random, so that two entries rarely try to
         # adopt the same answers.
@@ -144,8 +144,8 @@
             await self._remove_orphan(orphan)
             return
         keys = [row.value["key"] for row in rows.rows.values()]
-        drawn = self.random.sample(keys, min(len(keys), self.limits.adopted_at_once))
-        for key in drawn:
+        chosen = self.random.sample(keys, min(len(keys), self.limits.adopted_at_once))
+        for key in chosen:
             await self._adopt_key(key, orphan)
 
     async def _remove_orphan(self, orphan: Row) -> None:
@@ -154,9 +154,11 @@
         )
         if isinstance(outcome, Committed):
             # Adopters may still need the segments.
-            self.reactor.callLater(_GARBAGE_AFTER_S, self._sweep, orphan)
+            self.reactor.callLater(
+                _SEGMENT_RETENTION_S, self._spawn_delete_segments, orphan
+            )
 
-    def _sweep(self, orphan: Row) -> None:
+    def _spawn_delete_segments(self, orphan: Row) -> None:
         spawn(self._delete_segments(orphan), "sweep_segments", self.reactor)
 
     async def _delete_segments(self, orphan: Row) -> None:
@@ -187,14 +189,14 @@
             return
         if record.owner != orphan.value["incarnation"]:
             return
-        request = await self._request(record)
+        request = await self._read_request(record)
         if request is None:
             return
-        found = await self._read_journal(record, orphan.value["last_segment"])
-        if found is not None:
-            await self._take(row, record, request, found, orphan)
+        journal = await self._read_journal(record, orphan.value["last_segment"])
+        if journal is not None:
+            await self._take_over(row, record, request, journal, orphan)
 
-    async def _request(self, record: AnswerRecord) -> GenerationRequest | None:
+    async def _read_request(self, record: AnswerRecord) -> GenerationRequest | None:
         body = b64decode(record.prompt)
         if record.prompt_object:
             fetched = await self.platform.get_object(record.prompt_object)
@@ -225,20 +227,22 @@
         Falls back to the journal of the previous owner if this one holds nothing.
         """
         reader = JournalReader(record.key, Ledger(record.generation))
-        own = PriorJournal(
+        journal = PriorJournal(
             record.owner, record.generation, record.first_segment, last_segment
         )
-        if not await self._read_segments(own, reader):
+        if not await self._read_segments(journal, reader):
             return None
         prior = record.prior
         if reader.last is not None or prior is None:
             return reader
-        former = JournalReader(record.key, Ledger(prior.generation))
-        return former if await self._read_segments(prior, former) else None
-
-    async def _read_segments(self, where: PriorJournal, reader: JournalReader) -> bool:
-        for number in range(where.first_segment, where.last_segment + 1):
-            object_key = segment_key(where.owner, number)
+        prior_reader = JournalReader(record.key, Ledger(prior.generation))
+        return prior_reader if await self._read_segments(prior, prior_reader) else None
+
+    async def _read_segments(
+        self, journal: PriorJournal, reader: JournalReader
+    ) -> bool:
+        for number in range(journal.first_segment, journal.last_segment + 1):
+            object_key = segment_key(journal.owner, number)
             fetched = await self.platform.get_object(object_key)
             if isinstance(fetched, Unavailable):
                 return False
@@ -246,53 +250,60 @@
                 reader.read(Segment.from_bytes(fetched.data))
         return True
 
-    async def _take(
+    async def _take_over(
         self,
         row: Row,
         record: AnswerRecord,
         request: GenerationRequest,
-        found: JournalReader,
+        journal: JournalReader,
         orphan: Row,
     ) -> None:
-        ledger = found.ledger.continued_as(self.registry.generation_name())
-        taken = self._taken_record(record, found, ledger, orphan)
+        ledger = journal.ledger.continued_as(self.registry.generation_name())
+        adopted_record = self._adopted_record(record, journal, ledger, orphan)
         outcome = await self.platform.transact(
             Transaction(
-                {row.key: row.version, **self.registry.journal.fence()},
+                {row.key: row.version, **self.registry.journal.fence_condition()},
                 {
-                    row.key: taken.to_row(),
+                    row.key: adopted_record.to_row(),
                     record.index_key: None,
-                    taken.index_key: {"key": row.key},
+                    adopted_record.index_key: {"key": row.key},
                 },
             )
         )
-        version = await self._version_if_taken(outcome, taken)
+        version = await self._version_if_adopted(outcome, adopted_record)
         if version is None:
             return
         self.adopted += 1
-        last = found.last
+        last = journal.last
         started = Started(last.endpoint_id, last.run_id, last.label) if last else None
         log_event("answer_adopted", request=row.key, held_tokens=ledger.next_position)
-        self.registry.adopt(request, taken, version, ledger, started or Started())
+        self.registry.adopt(
+            request, adopted_record, version, ledger, started or Started()
+        )
 
-    async def _version_if_taken(
-        self, outcome: object, taken: AnswerRecord
+    async def _version_if_adopted(
+        self, outcome: object, adopted_record: AnswerRecord
     ) -> int | None:
         """The row's version if the takeover was written, read back if unsure."""
         if isinstance(outcome, Committed):
-            return outcome.versions[taken.key]
-        found = await self.registry.store.read(taken.team, taken.request_id)
-        if isinstance(found, Unavailable) or found is None:
+            return outcome.versions[adopted_record.key]
+        stored = await self.registry.store.read(
+            adopted_record.team, adopted_record.request_id
+        )
+        if isinstance(stored, Unavailable) or stored is None:
             return None
-        record, version = found
-        mine = (record.owner, record.order) == (taken.owner, taken.order)
-        return version if mine else None
+        record, version = stored
+        adopted_here = (record.owner, record.order) == (
+            adopted_record.owner,
+            adopted_record.order,
+        )
+        return version if adopted_here else None
 
-    def _taken_record(
-        self, record: AnswerRecord, found: JournalReader, ledger: Ledger, orphan: Row
+    def _adopted_record(
+        self, record: AnswerRecord, journal: JournalReader, ledger: Ledger, orphan: Row
     ) -> AnswerRecord:
         prior = record.prior
-        if found.last is not None and found.last.generation == record.generation:
+        if journal.last is not None and journal.last.generation == record.generation:
             prior = PriorJournal(
                 record.owner,
                 record.generation,
@@ -310,5 +321,5 @@
         )
 
 
-def _under(rows: Rows, prefix: str) -> list[Row]:
+def _rows_under(rows: Rows, prefix: str) -> list[Row]:
     return [row for key, row in rows.rows.items() if key.startswith(prefix)]
--- a/src/coursekeel/entry/answers/_answer_measures.py
+++ b/src/coursekeel/entry/answers/_answer_metrics.py
@@ -7,7 +7,7 @@
 from coursekeel.observe import Metrics, log_event
 from coursekeel.units import MS_PER_SECOND
 
-__all__ = ["AnswerMeasures"]
+__all__ = ["AnswerMetrics"]
 
 # Samples one in so many gaps between tokens: observing each would cost more than
 # passing the tokens on.
@@ -15,7 +15,7 @@
 
 
 @define(eq=False)
-class AnswerMeasures:
+class AnswerMetrics:
     """Records times to first token, resumptions, sampled gaps, and attempts.
 
     ``arrived_ms`` is the time at which the request arrived.
@@ -29,26 +29,28 @@
     _resuming: bool = False
     _deliveries: int = 0
 
-    def delivered(self, now_ms: float) -> None:
+    def record_delivery(self, now_ms: float) -> None:
         """Record that tokens were added to the ledger."""
         if self._resuming or self._deliveries % _GAP_SAMPLE == 0:
-            self._observe(now_ms)
+            self._record_time(now_ms)
         self._deliveries += 1
         self._resuming = False
         self._last_token_ms = now_ms
 
-    def resumes_if(self, held_tokens: int) -> None:
+    def note_resumption(self, held_tokens: int) -> None:
         """Mark the answer as resuming if it already has tokens."""
         self._resuming = self._resuming or held_tokens > 0
 
-    def attempt_opened(self, action: OpenAttempt) -> None:
+    def record_attempt(self, action: OpenAttempt) -> None:
         """Count and log an attempt."""
         labels = self._labels()
         self.metrics.attempts.inc({**labels, "way": action.way.value})
-        self.resumes_if(action.from_position)
+        self.note_resumption(action.from_position)
         if action.way is Way.PREFILL and action.attempt > 1:
-            again = self.request.prompt_tokens + action.from_position
-            self.metrics.extra_tokens.add({**labels, "kind": "prefilled_again"}, again)
+            prefilled_tokens = self.request.prompt_tokens + action.from_position
+            self.metrics.extra_tokens.add(
+                {**labels, "kind": "prefilled_again"}, prefilled_tokens
+            )
         log_event(
             "attempt_opened",
             request=self.label,
@@ -58,7 +60,7 @@
             position=action.from_position,
         )
 
-    def _observe(self, now_ms: float) -> None:
+    def _record_time(self, now_ms: float) -> None:
         labels = self._labels()
         since_s = (now_ms - self._last_token_ms) / MS_PER_SECOND
         if not self._deliveries:
--- a/src/coursekeel/entry/answers/_answer_placement.py
+++ b/src/coursekeel/entry/answers/_answer_placement.py
@@ -23,34 +23,36 @@
     routing: RoutingTask
     clock: Clock
     request: GenerationRequest
-    _searched: PlacementRequest | None = None
-    _number: int | None = None
-    _granted: str = ""
+    _last_request: PlacementRequest | None = None
+    _search_number: int | None = None
+    _granted_endpoint_id: str = ""
 
-    def search(self, action: SeekEndpoint, decided: Callable[[Decision], None]) -> None:
-        """Request an engine from routing; ``decided`` is called once unless stopped."""
-        self._number = None
-        self._searched = self._placement_request(action)
+    def search(
+        self, action: SeekEndpoint, on_decided: Callable[[Decision], None]
+    ) -> None:
+        """Request an engine; ``on_decided`` is called once unless stopped."""
+        self._search_number = None
+        self._last_request = self._placement_request(action)
 
         def on_decision(decision: Decision) -> None:
-            self._number = None
+            self._search_number = None
             if isinstance(decision, Grant):
-                self._granted = decision.endpoint_id
-            decided(decision)
+                self._granted_endpoint_id = decision.endpoint_id
+            on_decided(decision)
 
-        number = self.routing.place(self._searched, on_decision)
-        if self._granted == "":
-            self._number = number
+        search_number = self.routing.place(self._last_request, on_decision)
+        if self._granted_endpoint_id == "":
+            self._search_number = search_number
 
     def _placement_request(self, action: SeekEndpoint) -> PlacementRequest:
         request = self.request
-        left = max(request.max_tokens - action.held_tokens, 1)
+        remaining_tokens = max(request.max_tokens - action.held_tokens, 1)
         return PlacementRequest(
             team=request.team.name,
             request_class=request.policy.name,
             rank=request.policy.rank,
             pool=request.model.name,
-            cost=request.prompt_tokens + left,
+            cost=request.prompt_tokens + remaining_tokens,
             deadline_ms=self.clock.now_ms() + request.policy.patience_ms,
             weight=request.team.weight,
             continuing=action.continuing,
@@ -62,28 +64,28 @@
 
     def stop(self) -> None:
         """Stop the search."""
-        if self._number is not None:
-            self.routing.withdraw(self._number)
-            self._number = None
+        if self._search_number is not None:
+            self.routing.withdraw(self._search_number)
+            self._search_number = None
 
-    def give_back(self) -> None:
+    def return_slot(self) -> None:
         """Return a granted slot that no attempt uses."""
-        if self._granted:
-            endpoint_id, self._granted = self._granted, ""
+        if self._granted_endpoint_id:
+            endpoint_id, self._granted_endpoint_id = self._granted_endpoint_id, ""
             self.routing.returned(endpoint_id, self.request.prompt_tokens)
 
-    def may_have(self, action: OpenAttempt) -> bool:
+    def may_use(self, action: OpenAttempt) -> bool:
         """Whether the attempt's engine may run it.
 
         Routing has not just chosen the engine of a copy, so that one may be leaving.
         """
-        return action.way is not Way.COPY or self.takes_work(action.endpoint_id)
+        return action.way is not Way.COPY or self.accepts_work(action.endpoint_id)
 
-    def takes_work(self, endpoint_id: str) -> bool:
+    def accepts_work(self, endpoint_id: str) -> bool:
         """Whether the endpoint accepts new work now."""
         return self.routing.router.may_take(endpoint_id, self.clock.now_ms())
 
-    def take_place(self, action: OpenAttempt) -> bool:
+    def take_slot(self, action: OpenAttempt) -> bool:
         """Use the granted slot, or one at the engine that keeps a copy.
 
         Returns whether the attempt holds a slot, which must be released with it.
@@ -91,16 +93,21 @@
         if action.way is Way.COPY:
             self.routing.router.sent_to_copy(action.endpoint_id)
             return True
-        holds_place = action.way is Way.PREFILL and self._granted == action.endpoint_id
-        if holds_place:
-            self._granted = ""
-        return holds_place
+        holds_slot = (
+            action.way is Way.PREFILL
+            and self._granted_endpoint_id == action.endpoint_id
+        )
+        if holds_slot:
+            self._granted_endpoint_id = ""
+        return holds_slot
 
-    def keeper(self, action: OpenAttempt, bad_endpoints: frozenset[str]) -> str:
+    def choose_copy_endpoint(
+        self, action: OpenAttempt, bad_endpoints: frozenset[str]
+    ) -> str:
         """Choose the endpoint to keep a copy of the run; empty if there is none."""
-        if self._searched is None:
+        if self._last_request is None:
             return ""
-        excluded = self._searched.excluded | bad_endpoints
-        request = evolve(self._searched, excluded=excluded)
+        excluded = self._last_request.excluded | bad_endpoints
+        copy_request = evolve(self._last_request, excluded=excluded)
         endpoints = self.routing.router.endpoints
-        return endpoints.for_copy(request, action.endpoint_id, self.clock.now_ms())
+        return endpoints.for_copy(copy_request, action.endpoint_id, self.clock.now_ms())
--- a/src/coursekeel/entry/answers/_answer_registry.py
+++ b/src/coursekeel/entry/answers/_answer_registry.py
@@ -42,13 +42,13 @@
 # connection broke can reconnect.
 _RETURN_WINDOW_S = 15.0
 # How long an ended answer stays in memory for callers that reconnect.
-_KEPT_AFTER_END_S = 30.0
+_ENDED_RETENTION_S = 30.0
 # A durable answer with a caller's request id starts without its row after this time, so
 # that a slow store doesn't delay the first token.
-_CLAIM_WAIT_S = 0.15
+_STORE_WAIT_S = 0.15
 # Interval and number of the polls that wait for a request to be stored: 3 s in all.
-_STORED_LOOK_S = 0.02
-_STORED_LOOKS = 150
+_STORED_POLL_S = 0.02
+_STORED_POLLS = 150
 
 
 @define(eq=False)
@@ -58,8 +58,8 @@
     record: AnswerRecord
     version: int = 0
     prompt_bytes: int = 0
-    settling: bool = False
-    settled: bool = False
+    storing_end: bool = False
+    end_stored: bool = False
 
 
 @define(eq=False)
@@ -75,15 +75,15 @@
     unstored_bytes: int = 0
     tasks: dict[str, AnswerTask] = field(factory=dict)
     _durable: dict[str, _Durable] = field(factory=dict)
-    _orders: int = 0
-    _generations: int = 0
+    _last_order: int = 0
+    _generation_count: int = 0
 
     # Starting.
 
     def generation_name(self) -> str:
         """A new generation name; begins with this process incarnation's name."""
-        self._generations += 1
-        return f"{self.journal.incarnation}-{self._generations}"
+        self._generation_count += 1
+        return f"{self.journal.incarnation}-{self._generation_count}"
 
     def has_room(self, request: GenerationRequest) -> bool:
         """Whether the prompt fits into the memory for prompts not stored yet."""
@@ -94,14 +94,14 @@
     def start(self, request: GenerationRequest) -> AnswerTask:
         """Start an answer; a durable one is stored concurrently."""
         ledger = Ledger(self.generation_name())
-        task = self._task(request, ledger)
+        task = self._create_task(request, ledger)
         if request.policy.durable:
-            self._keep(task)
+            self._begin_storing(task)
         if not (request.policy.durable and request.keyed):
             task.tell(Started())
         return task
 
-    def _task(self, request: GenerationRequest, ledger: Ledger) -> AnswerTask:
+    def _create_task(self, request: GenerationRequest, ledger: Ledger) -> AnswerTask:
         key = answer_key(request.team.name, request.request_id)
         label = f"{request.team.name}/{request.request_id}/{ledger.generation}"
         serves = request.model.serves
@@ -109,18 +109,18 @@
         core = AnswerCore(label, expected, request.policy.answer_policy(), ledger)
         task = AnswerTask(request, core, self.ports)
         if request.policy.durable:
-            task.unsettled = True
-            task.durable_right_ms = self.journal.right_left_ms
+            task.end_unstored = True
+            task.lease_left_ms = self.journal.right_left_ms
             self.journal.writer.track(key, ledger)
         if request.policy.delivery is Delivery.AFTER_JOURNAL:
-            task.journal_end = lambda: self._journal_end(key, task)
+            task.journaled_tokens = lambda: self._journaled_tokens(key, task)
         self.tasks[key] = task
         return task
 
-    def _journal_end(self, key: str, task: AnswerTask) -> int:
+    def _journaled_tokens(self, key: str, task: AnswerTask) -> int:
         """The number of tokens in the journal; all tokens during a store outage."""
         durable = self._durable.get(key)
-        if self.journal.store_out or durable is None or durable.settled:
+        if self.journal.store_out or durable is None or durable.end_stored:
             return task.ledger.next_position
         return self.journal.writer.durable_tokens(key)
 
@@ -130,16 +130,16 @@
 
     # Storing the request.
 
-    def _keep(self, task: AnswerTask) -> None:
+    def _begin_storing(self, task: AnswerTask) -> None:
         request = task.request
-        self._orders += 1
+        self._last_order += 1
         record = AnswerRecord(
             team=request.team.name,
             request_id=request.request_id,
             request_class=request.policy.name,
             owner=self.journal.incarnation,
             epoch=1,
-            order=self._orders,
+            order=self._last_order,
             generation=task.ledger.generation,
             state=RecordState.RUNNING,
             model=request.model.name,
@@ -148,35 +148,35 @@
         durable = _Durable(record, prompt_bytes=len(request.body))
         self._durable[record.key] = durable
         self.unstored_bytes += durable.prompt_bytes
-        spawn(self._store(task, durable), "store_answer", self.reactor)
+        spawn(self._store_request(task, durable), "store_answer", self.reactor)
         if request.keyed:
-            self.reactor.callLater(_CLAIM_WAIT_S, self._start_anyway, task)
+            self.reactor.callLater(_STORE_WAIT_S, self._start_unstored, task)
 
-    def _start_anyway(self, task: AnswerTask) -> None:
+    def _start_unstored(self, task: AnswerTask) -> None:
         """Start although the store has not confirmed yet that the id is new."""
         if task.core.state == "waiting" and not task.begun and not task.ended:
             task.tell(Started())
 
-    async def _store(self, task: AnswerTask, durable: _Durable) -> None:
+    async def _store_request(self, task: AnswerTask, durable: _Durable) -> None:
         """Store the prompt and the row, with retries until it succeeds."""
         while not task.gone:
             outcome = await self._insert(task.request, durable)
             if isinstance(outcome, Committed):
                 durable.version = outcome.versions[durable.record.key]
-                self._is_stored(task, durable)
+                self._on_stored(task, durable)
                 return
             if isinstance(outcome, Conflict) and durable.record.key in outcome.rows:
                 version = is_own(outcome, durable.record)
                 if version is None:
-                    await self._is_anothers(task, durable)
+                    await self._on_owned_elsewhere(task, durable)
                     return
                 durable.version = version
-                self._is_stored(task, durable)
+                self._on_stored(task, durable)
                 return
             if task.ended and not task.ledger.next_position:
                 break
             await self._pause(_RETRY_S)
-        self._forget_prompt(durable)
+        self._release_prompt_bytes(durable)
 
     async def _insert(
         self, request: GenerationRequest, durable: _Durable
@@ -189,36 +189,36 @@
         durable.record = placed
         return await self.store.insert(placed)
 
-    def _is_stored(self, task: AnswerTask, durable: _Durable) -> None:
-        self._forget_prompt(durable)
+    def _on_stored(self, task: AnswerTask, durable: _Durable) -> None:
+        self._release_prompt_bytes(durable)
         task.stored = True
         if not task.begun and not task.ended:
             task.tell(Started())
         task.wake_followers()
         if task.core.ended:
-            self._settle_soon(task)
+            self._spawn_store_end(task)
 
-    def _forget_prompt(self, durable: _Durable) -> None:
+    def _release_prompt_bytes(self, durable: _Durable) -> None:
         self.unstored_bytes -= durable.prompt_bytes
         durable.prompt_bytes = 0
 
-    async def _is_anothers(self, task: AnswerTask, durable: _Durable) -> None:
+    async def _on_owned_elsewhere(self, task: AnswerTask, durable: _Durable) -> None:
         """Stop the answer: another owner already stored one under this id."""
-        self._forget_prompt(durable)
+        self._release_prompt_bytes(durable)
         log_event("answer_is_anothers", request=task.core.label)
         self.fence(durable.record.key, stops_run=True)
         await self.store.drop_prompt(durable.record)
 
     async def until_stored(self, task: AnswerTask) -> bool:
         """Wait about 3 s for the request to be stored; say whether it is."""
-        for _ in range(_STORED_LOOKS):
+        for _ in range(_STORED_POLLS):
             if task.stored:
                 return True
             if task.gone:
                 request = task.request
-                found = await self.store.read(request.team.name, request.request_id)
-                return isinstance(found, tuple)
-            await self._pause(_STORED_LOOK_S)
+                stored = await self.store.read(request.team.name, request.request_id)
+                return isinstance(stored, tuple)
+            await self._pause(_STORED_POLL_S)
         return task.stored
 
     def give_up(self, task: AnswerTask) -> None:
@@ -240,7 +240,7 @@
 
         ``version`` is that of the row that this entry wrote to take the answer over.
         """
-        task = self._task(request, ledger)
+        task = self._create_task(request, ledger)
         self._durable[record.key] = _Durable(record, version)
         task.stored = True
         task.tell(started)
@@ -248,8 +248,8 @@
 
     def next_order(self) -> int:
         """The position of the next answer in this owner's index."""
-        self._orders += 1
-        return self._orders
+        self._last_order += 1
+        return self._last_order
 
     def fence(self, key: str, stops_run: bool = False) -> None:
         """Stop an answer that another entry owns, and redirect its readers.
@@ -267,7 +267,7 @@
             return
         task.gone = True
         task.fenced = not stops_run
-        task.unsettled = False
+        task.end_unstored = False
         task.tell(Cancelled() if stops_run else Fenced())
         task.wake_followers()
 
@@ -278,14 +278,14 @@
         end is stored are still sent to their readers.
         """
         for key, durable in list(self._durable.items()):
-            if durable.settled:
+            if durable.end_stored:
                 del self._durable[key]
             elif self.tasks[key].stored:
                 self.fence(key)
             else:
-                self._own_anew(key, durable)
+                self._move_to_incarnation(key, durable)
 
-    def _own_anew(self, key: str, durable: _Durable) -> None:
+    def _move_to_incarnation(self, key: str, durable: _Durable) -> None:
         self.journal.writer.track(key, self.tasks[key].ledger)
         durable.record = evolve(
             durable.record,
@@ -310,23 +310,23 @@
             if task is not None:
                 task.wake_followers()
 
-    def left(self, task: AnswerTask) -> None:
+    def on_reader_left(self, task: AnswerTask) -> None:
         """Cancel an answer that isn't stored if no reader returns in time."""
         if not task.stored and not task.followers and not task.ended:
-            self.reactor.callLater(_RETURN_WINDOW_S, self._nobody_returned, task)
+            self.reactor.callLater(_RETURN_WINDOW_S, self._cancel_if_unread, task)
 
-    def _nobody_returned(self, task: AnswerTask) -> None:
+    def _cancel_if_unread(self, task: AnswerTask) -> None:
         if not task.followers and not task.stored and not task.ended:
             task.tell(Cancelled())
 
     def ended(self, task: AnswerTask) -> None:
         """Count and store the end of an answer, and remove it later."""
-        self._count(task)
+        self._count_ended(task)
         if task.stored and not task.gone:
-            self._settle_soon(task)
-        self.reactor.callLater(_KEPT_AFTER_END_S, self._drop, task)
+            self._spawn_store_end(task)
+        self.reactor.callLater(_ENDED_RETENTION_S, self._remove, task)
 
-    def _count(self, task: AnswerTask) -> None:
+    def _count_ended(self, task: AnswerTask) -> None:
         labels = {"team": task.request.team.name, "class": task.request.policy.name}
         outcome = "moved" if task.gone else task.core.state
         metrics = self.ports.metrics
@@ -340,12 +340,12 @@
             attempts=len(task.core.attempts),
         )
 
-    def _drop(self, task: AnswerTask) -> None:
+    def _remove(self, task: AnswerTask) -> None:
         key = self._key(task)
         durable = self._durable.get(key)
-        if durable is not None and not durable.settled and not task.gone:
+        if durable is not None and not durable.end_stored and not task.gone:
             # The end is not stored yet, so the answer must stay in memory.
-            self.reactor.callLater(_KEPT_AFTER_END_S, self._drop, task)
+            self.reactor.callLater(_ENDED_RETENTION_S, self._remove, task)
             return
         if self.tasks.get(key) is task:
             del self.tasks[key]
@@ -354,13 +354,13 @@
 
     # Storing the end.
 
-    def _settle_soon(self, task: AnswerTask) -> None:
+    def _spawn_store_end(self, task: AnswerTask) -> None:
         durable = self._durable.get(self._key(task))
-        if durable is not None and not durable.settling:
-            durable.settling = True
-            spawn(self._settle(task, durable), "settle_answer", self.reactor)
+        if durable is not None and not durable.storing_end:
+            durable.storing_end = True
+            spawn(self._store_end(task, durable), "settle_answer", self.reactor)
 
-    async def _settle(self, task: AnswerTask, durable: _Durable) -> None:
+    async def _store_end(self, task: AnswerTask, durable: _Durable) -> None:
         """Store how the answer ended; until then another entry may adopt it."""
         key = durable.record.key
         while not task.gone:
@@ -374,10 +374,10 @@
                 self.fence(key)
                 return
             await self._pause(_RETRY_S)
-        durable.settled = True
-        task.unsettled = False
+        durable.end_stored = True
+        task.end_unstored = False
         # An answer whose end is stored can't be adopted, so sending needs no lease.
-        task.durable_right_ms = None
+        task.lease_left_ms = None
         self.journal.forget(key)
         task.wake_followers()
         await self.store.drop_prompt(durable.record)
--- a/src/coursekeel/entry/answers/_answer_store.py
+++ b/src/coursekeel/entry/answers/_answer_store.py
@@ -55,13 +55,13 @@
             return evolve(record, prompt=b64encode(body).decode())
         name = _object_name("prompts", record)
         put = await self.platform.put_object(name, body)
-        return evolve(record, prompt_object=name) if _done(put) else put
+        return evolve(record, prompt_object=name) if _is_committed(put) else put
 
     async def insert(self, record: AnswerRecord) -> TransactOutcome:
         """Insert a new answer's row if its id is unused."""
         return await self.batcher.transact(
             Transaction(
-                {record.key: 0, **self.journal.fence()},
+                {record.key: 0, **self.journal.fence_condition()},
                 {record.key: record.to_row(), record.index_key: {"key": record.key}},
             )
         )
@@ -76,13 +76,13 @@
         else:
             name = _object_name("results", record)
             put = await self.platform.put_object(name, result)
-            if not _done(put):
+            if not _is_committed(put):
                 return put
             record = evolve(record, result_object=name)
         due = f"expires/{record.expires_at_s // SECONDS_PER_MINUTE:010d}/{record.key}"
         return await self.batcher.transact(
             Transaction(
-                {record.key: version, **self.journal.fence()},
+                {record.key: version, **self.journal.fence_condition()},
                 {
                     record.key: record.to_row(),
                     record.index_key: None,
@@ -127,8 +127,8 @@
     if row is None:
         return None
     found = AnswerRecord.from_row(row.value)
-    mine = (found.owner, found.order) == (record.owner, record.order)
-    return row.version if mine else None
+    is_same_owner = (found.owner, found.order) == (record.owner, record.order)
+    return row.version if is_same_owner else None
 
 
 def ended_already(conflict: Conflict, record: AnswerRecord) -> bool:
@@ -137,8 +137,8 @@
     if row is None:
         return False
     found = AnswerRecord.from_row(row.value)
-    same = (found.owner, found.epoch) == (record.owner, record.epoch)
-    return same and found.state is not RecordState.RUNNING
+    is_same_owner = (found.owner, found.epoch) == (record.owner, record.epoch)
+    return is_same_owner and found.state is not RecordState.RUNNING
 
 
 def _object_name(kind: str, record: AnswerRecord) -> str:
@@ -146,5 +146,5 @@
     return f"{kind}/{record.team}/{record.request_id}/{owner}"
 
 
-def _done(outcome: TransactOutcome) -> bool:
+def _is_committed(outcome: TransactOutcome) -> bool:
     return isinstance(outcome, Committed)
--- a/src/coursekeel/entry/answers/_answer_task.py
+++ b/src/coursekeel/entry/answers/_answer_task.py
@@ -38,7 +38,7 @@
     Way,
 )
 from coursekeel.endpoints import EngineAdapter, GenerationOrder, SilenceWatch
-from coursekeel.entry.answers._answer_measures import AnswerMeasures
+from coursekeel.entry.answers._answer_metrics import AnswerMetrics
 from coursekeel.entry.answers._answer_placement import AnswerPlacement
 from coursekeel.entry.answers._follower import FollowedAnswer, Follower
 from coursekeel.entry.answers._open_stream import (
@@ -66,7 +66,7 @@
 # A timer that fires this late means that this process was paused. Must stay below the
 # shortest silence that marks an endpoint as stalled (`silence_floor_ms`).
 _OWN_PAUSE_MS = 250.0
-_MESSAGES = {
+_REFUSAL_MESSAGES = {
     "interrupted": "no endpoint could continue the answer in time",
     "request_stops_engines": "engines crashed while they ran this request",
     "too_late": "the request can't be served before its deadline",
@@ -80,8 +80,9 @@
 class AnswerPorts:
     """Dependencies of an answer's task, provided by its entry.
 
-    ``engine`` returns the adapter of an endpoint, or None. ``ended`` and ``run_known``
-    are callbacks. ``copies`` enables copies of the runs' memory on other engines.
+    ``engine`` returns the adapter of an endpoint, or None. ``on_ended`` and
+    ``on_run_opened`` are callbacks. ``copies`` enables copies of the runs'
+    memory on other engines.
     """
 
     reactor: Reactor
@@ -90,8 +91,8 @@
     silence: SilenceWatch
     metrics: Metrics
     engine: Callable[[str], EngineAdapter | None]
-    ended: Callable[["AnswerTask"], None]
-    run_known: Callable[["AnswerTask", str, StreamHead], None]
+    on_ended: Callable[["AnswerTask"], None]
+    on_run_opened: Callable[["AnswerTask", str, StreamHead], None]
     gate: QuarantineGate
     watch: EndpointWatch
     caller_lead_tokens: int
@@ -109,21 +110,21 @@
     request: GenerationRequest
     core: AnswerCore[Ledger]
     ports: AnswerPorts
-    durable_right_ms: Callable[[], float] | None = None
-    journal_end: Callable[[], int] | None = None
+    lease_left_ms: Callable[[], float] | None = None
+    journaled_tokens: Callable[[], int] | None = None
     stored: bool = False
     refusal: Refusal | None = None
     gone: bool = False
     fenced: bool = False
     begun: bool = False
-    unsettled: bool = False
+    end_unstored: bool = False
     followers: list[Follower[Any]] = field(factory=list)
     arrived_ms: float = field(init=False)
     _driver: AnswerDriver = field(init=False)
-    _open: dict[int, OpenStream] = field(factory=dict)
+    _open_streams: dict[int, OpenStream] = field(factory=dict)
     _placement: AnswerPlacement = field(init=False)
-    _leave: QuarantinePass = field(init=False)
-    _measures: AnswerMeasures = field(init=False)
+    _quarantine_pass: QuarantinePass = field(init=False)
+    _metrics: AnswerMetrics = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         ports = self.ports
@@ -132,8 +133,8 @@
             self.core, self, ports.reactor, ports.clock, _OWN_PAUSE_MS
         )
         self._placement = AnswerPlacement(ports.routing, ports.clock, self.request)
-        self._leave = QuarantinePass(ports.gate, self.request)
-        self._measures = AnswerMeasures(
+        self._quarantine_pass = QuarantinePass(ports.gate, self.request)
+        self._metrics = AnswerMetrics(
             self.request, self.core.label, self.ports.metrics, self.arrived_ms
         )
 
@@ -152,7 +153,7 @@
     @property
     def settled(self) -> bool:
         """Whether this process may exit without losing any part of the answer."""
-        return self.ended and not self.followers and not self.unsettled
+        return self.ended and not self.followers and not self.end_unstored
 
     @property
     def finish_reason(self) -> str:
@@ -162,35 +163,35 @@
     @property
     def deliverable_end(self) -> int:
         """The number of tokens that may be sent to readers now."""
-        if self.journal_end is None:
+        if self.journaled_tokens is None:
             return self.ledger.next_position
-        return self.journal_end()
+        return self.journaled_tokens()
 
     def right_left_ms(self) -> float:
         """How long from now this entry may send tokens; infinite without a lease."""
-        return math.inf if self.durable_right_ms is None else self.durable_right_ms()
+        return math.inf if self.lease_left_ms is None else self.lease_left_ms()
 
     def follow(self, follower: Follower[Any]) -> None:
         """Add a reader and send it the tokens that are available."""
         self.followers.append(follower)
         follower.wake()
-        self._hold_or_read()
+        self._pause_or_resume_streams()
 
-    def left(self, follower: Follower[Any]) -> None:
+    def remove_follower(self, follower: Follower[Any]) -> None:
         """Remove a reader that disconnected or has received the whole answer."""
         if follower in self.followers:
             self.followers.remove(follower)
-        self._hold_or_read()
+        self._pause_or_resume_streams()
 
-    def left_behind(self) -> None:
+    def reader_progressed(self) -> None:
         """Resume reading from engines if a slow reader has made enough progress."""
-        self._hold_or_read()
+        self._pause_or_resume_streams()
 
     def wake_followers(self) -> None:
         """Send readers what became available."""
         for follower in list(self.followers):
             follower.wake()
-        self._hold_or_read()
+        self._pause_or_resume_streams()
 
     # Events.
 
@@ -206,54 +207,58 @@
     def event_taken(self, event: Event, actions: list[Action]) -> None:
         """Return a granted slot that the core did not use."""
         if isinstance(event, Granted):
-            self._placement.give_back()
+            self._placement.return_slot()
 
-    def head(self, attempt: int, head: StreamHead) -> None:
+    def handle_head(self, attempt: int, head: StreamHead) -> None:
         """Handle the head of an attempt's stream."""
-        opened = self._open.get(attempt)
+        opened = self._open_streams.get(attempt)
         if opened is not None:
             opened.run_id = head.run_id
             opened.head_ms = self.ports.clock.now_ms()
         self.tell(HeadArrived(attempt, head))
-        if attempt in self._open and not self.ended:
-            self.ports.run_known(self, self._open[attempt].endpoint_id, head)
+        if attempt in self._open_streams and not self.ended:
+            self.ports.on_run_opened(
+                self, self._open_streams[attempt].endpoint_id, head
+            )
 
-    def line(self, attempt: int, line: TokensArrived) -> None:
+    def handle_tokens(self, attempt: int, event: TokensArrived) -> None:
         """Handle tokens of a stream; they also show that its endpoint is alive."""
         now_ms = self.ports.clock.now_ms()
-        opened = self._open.get(attempt)
+        opened = self._open_streams.get(attempt)
         if opened is None:
             return
-        if opened.first_ms is None:
-            self._first_line(opened, now_ms)
+        if opened.first_tokens_ms is None:
+            self._note_first_tokens(opened, now_ms)
         else:
             self.ports.silence.heard(opened.endpoint_id, now_ms)
-        self.tell(line, now_ms)
+        self.tell(event, now_ms)
 
-    def _first_line(self, opened: OpenStream, now_ms: float) -> None:
-        opened.first_ms = now_ms
+    def _note_first_tokens(self, opened: OpenStream, now_ms: float) -> None:
+        opened.first_tokens_ms = now_ms
         self.ports.silence.opened(opened.endpoint_id, now_ms)
-        if opened.holds_place:
+        if opened.holds_slot:
             router = self.ports.routing.router
             router.succeeded(opened.endpoint_id, self.request.policy.name)
 
-    def stream_ended(self, attempt: int, loss: Loss) -> None:
+    def handle_stream_end(self, attempt: int, loss: Loss) -> None:
         """Handle the end of an attempt's stream."""
-        opened = self._open.get(attempt)
+        opened = self._open_streams.get(attempt)
         if opened is not None:
             if loss is Loss.REFUSED:
                 now_ms = self.ports.clock.now_ms()
                 self.ports.routing.router.turned_away(opened.endpoint_id, now_ms)
             elif loss is not Loss.NOT_SENT and opened.begins:
-                self._run_lost(opened)
-            self._let_go(attempt)
+                self._report_lost_run(opened)
+            self._release_attempt(attempt)
         if not self.core.ended:
             self.tell(AttemptEnded(attempt, loss))
 
-    def _run_lost(self, opened: OpenStream) -> None:
+    def _report_lost_run(self, opened: OpenStream) -> None:
         now_ms = self.ports.clock.now_ms()
         ran_ms = None if opened.head_ms is None else now_ms - opened.head_ms
-        gave_ms = None if opened.first_ms is None else now_ms - opened.first_ms
+        gave_ms = (
+            None if opened.first_tokens_ms is None else now_ms - opened.first_tokens_ms
+        )
         sign = sign_of(ran_ms, gave_ms)
         self.ports.watch.run_lost(self.request, opened.endpoint_id, sign, engine=True)
 
@@ -268,52 +273,52 @@
         """Carry out an action of the core."""
         match action:
             case Deliver():
-                self._delivered(now_ms)
+                self._on_delivered(now_ms)
             case SeekEndpoint():
-                self._search(action)
+                self._search_engine(action)
             case OpenAttempt():
                 self._open_attempt(action)
             case CancelAttempt():
-                self._cancel(action)
+                self._cancel_attempt(action)
             case Complete():
                 self.ports.gate.proved_sound(self.request)
-                self._end()
+                self._close()
             case Interrupt():
                 self.refusal = Refusal(
                     action.code,
-                    _MESSAGES.get(action.code, action.code),
-                    self._known_run(action.run),
+                    _REFUSAL_MESSAGES.get(action.code, action.code),
+                    self._reported_run_state(action.run),
                     action.retry_after_ms,
                     action.held_tokens,
                 )
-                self._end()
+                self._close()
             case StopWork():
-                self._end()
+                self._close()
 
-    def _delivered(self, now_ms: float) -> None:
-        self._measures.delivered(now_ms)
+    def _on_delivered(self, now_ms: float) -> None:
+        self._metrics.record_delivery(now_ms)
         self.wake_followers()
 
-    def _search(self, action: SeekEndpoint) -> None:
-        self._measures.resumes_if(action.held_tokens)
-        self._placement.search(action, self._decided)
+    def _search_engine(self, action: SeekEndpoint) -> None:
+        self._metrics.note_resumption(action.held_tokens)
+        self._placement.search(action, self._on_decision)
 
-    def _decided(self, decision: Decision) -> None:
+    def _on_decision(self, decision: Decision) -> None:
         if not isinstance(decision, Grant):
             self.refusal = Refusal(
                 decision.code,
-                _MESSAGES.get(decision.code, decision.code),
-                self._known_run(self.core.run_state),
+                _REFUSAL_MESSAGES.get(decision.code, decision.code),
+                self._reported_run_state(self.core.run_state),
                 decision.retry_after_ms,
             )
             self.tell(NothingFree(decision.retry_after_ms))
             self._refused_by_routing()
         elif self.ended:
-            self._placement.give_back()
+            self._placement.return_slot()
         else:
             self.tell(Granted(decision.endpoint_id))
 
-    def _known_run(self, run: RunState) -> RunState:
+    def _reported_run_state(self, run: RunState) -> RunState:
         """The run state to report to the caller.
 
         If the caller chose the request id, another entry may run the same request until
@@ -326,56 +331,58 @@
     def _refused_by_routing(self) -> None:
         """End the answer; routing only refuses requests that never ran."""
         self.core.withdraw()
-        self._end()
+        self._close()
 
     def _open_attempt(self, action: OpenAttempt) -> None:
-        if not self._leave.may_send():
+        if not self._quarantine_pass.may_send():
             self._refuse_barred()
             return
         engine = self.ports.engine(action.endpoint_id)
-        if engine is None or not self._placement.may_have(action):
-            self._placement.give_back()
+        if engine is None or not self._placement.may_use(action):
+            self._placement.return_slot()
             self.tell(AttemptEnded(action.attempt, Loss.NOT_SENT))
             return
-        holds_place = self._placement.take_place(action)
-        self._measures.attempt_opened(action)
+        holds_slot = self._placement.take_slot(action)
+        self._metrics.record_attempt(action)
         listener = AttemptListener(self, action.attempt)
         if action.way is Way.OWN_STREAM:
             position = action.from_position
             stream = engine.take_up(action.run_id, position, listener)
         else:
-            order = self._order(action, self._place_copy(action))
+            order = self._order(action, self._choose_copy_engine(action))
             stream = engine.open(order, listener)
         opened = OpenStream(
             action.endpoint_id,
             stream,
             self.ports.clock.now_ms(),
-            holds_place,
+            holds_slot,
             begins=action.way is not Way.OWN_STREAM,
         )
         opened.run_id = action.run_id
-        self._open[action.attempt] = opened
+        self._open_streams[action.attempt] = opened
 
     def _refuse_barred(self) -> None:
         """Refuse a quarantined request: endpoints crashed while they ran it."""
         self.refusal = Refusal(
             "request_stops_engines",
-            _MESSAGES["request_stops_engines"],
-            self._known_run(self.core.run_state),
-            math.ceil(self._leave.barred_ms),
+            _REFUSAL_MESSAGES["request_stops_engines"],
+            self._reported_run_state(self.core.run_state),
+            math.ceil(self._quarantine_pass.barred_ms),
             self.ledger.next_position,
         )
         self.tell(Cancelled())
 
-    def _place_copy(self, action: OpenAttempt) -> str:
+    def _choose_copy_engine(self, action: OpenAttempt) -> str:
         """Choose an engine to keep a copy of this run; return its address or empty."""
         if not self.ports.copies:
             return ""
-        keeper = self._placement.keeper(action, self.core.bad_endpoints)
-        engine = self.ports.engine(keeper)
+        copy_endpoint_id = self._placement.choose_copy_endpoint(
+            action, self.core.bad_endpoints
+        )
+        engine = self.ports.engine(copy_endpoint_id)
         if engine is None:
             return ""
-        self.tell(CopyPlaced(action.attempt, keeper))
+        self.tell(CopyPlaced(action.attempt, copy_endpoint_id))
         return engine.address
 
     def _order(self, action: OpenAttempt, copy_to: str) -> GenerationOrder:
@@ -388,39 +395,39 @@
             prefix_tokens=self.ledger.tokens_from(0),
             priority=-request.policy.rank,
             cache_salt=request.team.name,
-            may_send=lambda: self._may_run_at(action.endpoint_id),
+            may_send=lambda: self._may_start_run(action.endpoint_id),
             copy_to=copy_to,
             copy_of=action.run_id if action.way is Way.COPY else "",
         )
 
-    def _may_run_at(self, endpoint_id: str) -> bool:
+    def _may_start_run(self, endpoint_id: str) -> bool:
         """Whether the run may still start there once its connection is open."""
-        may_run = not self.ended and self._leave.may_send()
-        return may_run and self._placement.takes_work(endpoint_id)
+        may_run = not self.ended and self._quarantine_pass.may_send()
+        return may_run and self._placement.accepts_work(endpoint_id)
 
-    def _cancel(self, action: CancelAttempt) -> None:
-        opened = self._open.get(action.attempt)
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        opened = self._open_streams.get(action.attempt)
         if opened is None:
             return
         opened.stream.close()
-        self._let_go(action.attempt)
+        self._release_attempt(action.attempt)
         engine = self.ports.engine(opened.endpoint_id)
         # After the lease has lapsed the run may belong to the next owner.
         stops_run = action.stops_run and self.may_send()
         if stops_run and opened.run_id and engine is not None:
             spawn(engine.stop(opened.run_id), "stop_run", self.ports.reactor)
 
-    def _let_go(self, attempt: int) -> None:
-        opened = self._open.pop(attempt)
-        if opened.first_ms is not None:
+    def _release_attempt(self, attempt: int) -> None:
+        opened = self._open_streams.pop(attempt)
+        if opened.first_tokens_ms is not None:
             self.ports.silence.closed(opened.endpoint_id)
-        if opened.holds_place:
+        if opened.holds_slot:
             run_ms = self.ports.clock.now_ms() - opened.opened_ms
             self.ports.routing.released(opened.endpoint_id, run_ms)
 
     # Back pressure.
 
-    def _hold_or_read(self) -> None:
+    def _pause_or_resume_streams(self) -> None:
         """Pause the streams while even the fastest reader is far behind.
 
         A stored answer is never paused: it runs to its end without readers.
@@ -428,28 +435,28 @@
         if self.stored or self.core.ended or not self.followers:
             lead = 0
         else:
-            ahead = max(each.cursor for each in self.followers)
-            lead = self.ledger.next_position - ahead
+            most_read = max(follower.cursor for follower in self.followers)
+            lead = self.ledger.next_position - most_read
         hold = lead > self.ports.caller_lead_tokens
         if hold == self._driver.reading_held:
             return
         self._driver.reading_held = hold
-        for each in self._open.values():
+        for opened in self._open_streams.values():
             if hold:
-                each.stream.pause()
+                opened.stream.pause()
             else:
-                each.stream.resume()
+                opened.stream.resume()
         if not hold:
             self.tell(ReadingResumed())
 
     # End of the answer.
 
-    def _end(self) -> None:
+    def _close(self) -> None:
         self._driver.stop_alarm()
         self._placement.stop()
-        for attempt in list(self._open):
-            self._open[attempt].stream.close()
-            self._let_go(attempt)
-        self._placement.give_back()
-        self.ports.ended(self)
+        for attempt in list(self._open_streams):
+            self._open_streams[attempt].stream.close()
+            self._release_attempt(attempt)
+        self._placement.return_slot()
+        self.ports.on_ended(self)
         self.wake_followers()
--- a/src/coursekeel/entry/answers/_expiry_task.py
+++ b/src/coursekeel/entry/answers/_expiry_task.py
@@ -14,7 +14,7 @@
 
 _INTERVAL_MS = 30_000
 # Limit of rows per scan, so that a round stays short.
-_MOST_AT_ONCE = 100
+_MAX_ROWS_PER_SCAN = 100
 
 
 @define(eq=False)
@@ -45,7 +45,7 @@
         self._loop.stop()
 
     async def _round(self) -> None:
-        rows = await self.platform.scan("expires/", _MOST_AT_ONCE)
+        rows = await self.platform.scan("expires/", _MAX_ROWS_PER_SCAN)
         if isinstance(rows, Unavailable):
             return
         now_minute = self.clock.wall_s() // SECONDS_PER_MINUTE
--- a/src/coursekeel/entry/answers/_follower.py
+++ b/src/coursekeel/entry/answers/_follower.py
@@ -11,10 +11,10 @@
 __all__ = ["FollowedAnswer", "Follower"]
 
 # Limit of tokens in one event.
-_MOST_TOKENS_AN_EVENT = 512
+_MAX_TOKENS_PER_EVENT = 512
 # A reader that has up to this many more tokens than the ledger waits for the ledger to
 # catch up before it is restarted. A few seconds of a stream.
-_WAIT_AT_MOST_TOKENS = 256
+_MAX_MISSING_TOKENS = 256
 
 
 class FollowedAnswer(SendingRight):
@@ -49,7 +49,7 @@
         """The number of tokens that may be sent to readers now."""
 
     @abstractmethod
-    def left(self, follower: "Follower[Any]") -> None:
+    def remove_follower(self, follower: "Follower[Any]") -> None:
         """Remove a reader that disconnected or has received the whole answer."""
 
 
@@ -69,7 +69,7 @@
     held: EventId | None = None
     cursor: int = 0
     over: bool = False
-    _told_stored: bool = False
+    _stored_reported: bool = False
 
     def wake(self) -> None:
         """Send the reader what is available and may be sent."""
@@ -77,20 +77,20 @@
             return
         if self.task.gone:
             # The new owner's answer may differ from the ledger's latest tokens.
-            self._leave()
+            self._send_moved()
             return
         if not self.task.may_send():
             return
-        if self.task.stored and not self._told_stored:
-            self._told_stored = True
+        if self.task.stored and not self._stored_reported:
+            self._stored_reported = True
             self.sink.stored()
-        if self.held is not None and not self._verify(self.held):
+        if self.held is not None and not self._verify_held(self.held):
             return
-        self._advance()
+        self._send_available()
         if self.task.ended and not self.sink.full:
-            self._end()
+            self._send_end()
 
-    def _verify(self, held: EventId) -> bool:
+    def _verify_held(self, held: EventId) -> bool:
         """Check that the reader's tokens are a prefix of the ledger; restart it if not.
 
         Returns False while the ledger is slightly shorter: waiting for it often avoids
@@ -98,7 +98,7 @@
         """
         ledger = self.task.ledger
         missing = held.position - ledger.next_position
-        if 0 < missing <= _WAIT_AT_MOST_TOKENS and not self.task.ended:
+        if 0 < missing <= _MAX_MISSING_TOKENS and not self.task.ended:
             return False
         self.held = None
         if ledger.agrees_with(held.position, held.digest):
@@ -107,13 +107,13 @@
             self.sink.restart(ledger.generation)
         return True
 
-    def _advance(self) -> None:
+    def _send_available(self) -> None:
         end = self.task.deliverable_end
         while self.cursor < end and not self.sink.full:
-            upto = min(end, self.cursor + _MOST_TOKENS_AN_EVENT)
-            self._give(upto)
+            upto = min(end, self.cursor + _MAX_TOKENS_PER_EVENT)
+            self._send_tokens(upto)
 
-    def _give(self, upto: int) -> None:
+    def _send_tokens(self, upto: int) -> None:
         ledger = self.task.ledger
         tokens = ledger.tokens_from(self.cursor, upto)
         text = ledger.text_between(self.cursor, upto)
@@ -121,15 +121,15 @@
         self.cursor = upto
         self.sink.tokens(event_id, tokens, text)
 
-    def _leave(self) -> None:
+    def _send_moved(self) -> None:
         self.over = True
         if self.task.fenced:
             self.sink.come_back()
         else:
             self.sink.moved()
-        self.task.left(self)
+        self.task.remove_follower(self)
 
-    def _end(self) -> None:
+    def _send_end(self) -> None:
         refusal = self.task.refusal
         if refusal is not None:
             self.over = True
@@ -138,4 +138,4 @@
             self.over = True
             self.sink.finish(self.task.finish_reason, self.task.ledger.event_id)
         if self.over:
-            self.task.left(self)
+            self.task.remove_follower(self)
--- a/src/coursekeel/entry/answers/_journal_task.py
+++ b/src/coursekeel/entry/answers/_journal_task.py
@@ -31,19 +31,19 @@
     "alive_key",
     "lease_key",
     "orphan_key",
-    "seal",
+    "seal_transaction",
 ]
 
 LEASES_PREFIX = "leases/entry/"
 ORPHANS_PREFIX = "leases/orphan/"
 # Two renewals in a row may fail before the lease lapses.
-_RENEWALS_A_LEASE = 3
+_RENEWALS_PER_LEASE = 3
 # A pause of this process longer than half a lease may let another entry take over: see
 # `OutageWatch`.
-_GAPS_A_LEASE = 2
+_PAUSES_PER_LEASE = 2
 # Checks that this process is awake, often enough that a late timer isn't taken for a
 # pause.
-_BEATS_A_GAP = 5
+_CHECKS_PER_PAUSE = 5
 
 
 def lease_key(instance_id: str) -> str:
@@ -69,10 +69,11 @@
 class JournalTask:
     """One incarnation's lease and journal.
 
-    ``fenced`` is called when the lease is lost: the durable answers of this incarnation
-    then belong to the entries that adopt them. ``gained`` is called with the keys of
-    the answers that have more tokens in the journal, or with an empty list after the
-    time for sending was extended; ``taken`` when the lease is acquired.
+    ``on_fenced`` is called when the lease is lost: the durable answers of this
+    incarnation then belong to the entries that adopt them. ``on_progress`` is called
+    with the keys of the answers that have more tokens in the journal, or with an empty
+    list after the time for sending was extended; ``on_lease_taken`` when the lease is
+    acquired.
     """
 
     reactor: Reactor
@@ -81,19 +82,19 @@
     timers: Timers
     instance_id: str
     incarnation: str
-    fenced: Callable[[], None]
-    gained: Callable[[list[str]], None]
-    taken: Callable[[], None]
+    on_fenced: Callable[[], None]
+    on_progress: Callable[[list[str]], None]
+    on_lease_taken: Callable[[], None]
     peer_address: Callable[[], str]
     writer: JournalWriter = field(init=False)
     store_out: bool = False
     _loop: Periodic = field(init=False)
-    _beat: Periodic = field(init=False)
+    _awake_timer: Periodic = field(init=False)
     _outage: OutageWatch = field(init=False)
     _version: int | None = None
     _alive_version: int = 0
     _renewed_ms: float = float("-inf")
-    _permitted_until_ms: float = float("-inf")
+    _may_send_until_ms: float = float("-inf")
     _stopping: bool = False
 
     def __attrs_post_init__(self) -> None:
@@ -101,18 +102,18 @@
         self._loop = Periodic(
             self.reactor, "journal", self.timers.journal_ms, self._round
         )
-        gap_ms = self.timers.lease_ms / _GAPS_A_LEASE
-        self._outage = OutageWatch(gap_ms)
-        self._beat = Periodic(
-            self.reactor, "awake", gap_ms / _BEATS_A_GAP, self._is_awake
+        pause_ms = self.timers.lease_ms / _PAUSES_PER_LEASE
+        self._outage = OutageWatch(pause_ms)
+        self._awake_timer = Periodic(
+            self.reactor, "awake", pause_ms / _CHECKS_PER_PAUSE, self._note_awake
         )
 
     def start(self) -> None:
         """Acquire the lease, then renew it and write segments periodically."""
-        self._beat.start()
+        self._awake_timer.start()
         self._loop.start()
 
-    def fence(self) -> dict[str, int]:
+    def fence_condition(self) -> dict[str, int]:
         """The row version that every write of this incarnation must expect."""
         return {alive_key(self.incarnation): self._alive_version}
 
@@ -128,7 +129,7 @@
         another entry may have taken over. During a store outage that this process
         observed without a pause no other entry can take over, so the time is extended.
         """
-        left_ms = self._permitted_until_ms - self.clock.now_ms()
+        left_ms = self._may_send_until_ms - self.clock.now_ms()
         if left_ms <= 0:
             self._loop.now()
         return left_ms
@@ -136,7 +137,7 @@
     async def stop(self) -> None:
         """Write the remaining segment and delete the lease row."""
         self._loop.stop()
-        self._beat.stop()
+        self._awake_timer.stop()
         self._stopping = True
         if self._version is not None:
             await self._flush()
@@ -147,50 +148,50 @@
                 Transaction({key: self._version}, {key: None, alive: None})
             )
 
-    async def _is_awake(self) -> None:
+    async def _note_awake(self) -> None:
         self._outage.awake(self.clock.now_ms())
 
     async def _round(self) -> None:
         if self._version is None:
-            await self._take()
-        elif self._due():
+            await self._acquire_lease()
+        elif self._is_due():
             await self._flush()
 
-    def _due(self) -> bool:
+    def _is_due(self) -> bool:
         if self.writer.cut() is not None:
             return True
         age_ms = self.clock.now_ms() - self._renewed_ms
-        return age_ms >= self.timers.lease_ms / _RENEWALS_A_LEASE
+        return age_ms >= self.timers.lease_ms / _RENEWALS_PER_LEASE
 
     # Acquiring the lease.
 
-    async def _take(self) -> None:
+    async def _acquire_lease(self) -> None:
         """Write the lease row; seal the instance's previous incarnation."""
-        asked_ms = self.clock.now_ms()
+        requested_ms = self.clock.now_ms()
         key = lease_key(self.instance_id)
         alive = alive_key(self.incarnation)
         rows = await self.platform.read([key, alive])
         if isinstance(rows, Unavailable):
-            self._note_outage(asked_ms)
+            self._note_outage(requested_ms)
             return
         row = rows.rows.get(key)
         if row is not None and row.value["incarnation"] == self.incarnation:
             self._version = row.version
             self._alive_version = rows.rows[alive].version
-            self._permit(asked_ms)
+            self._extend_lease(requested_ms)
             return
         writes: dict[str, dict[str, Any] | None] = {key: self._lease_value(), alive: {}}
         if row is not None:
-            writes |= _orphaned(row)
+            writes |= _orphan_writes(row)
         outcome = await self.platform.transact(
             Transaction({key: row.version if row else 0}, writes)
         )
         if isinstance(outcome, Committed):
             self._version = outcome.versions[key]
             self._alive_version = outcome.versions[alive]
-            self._permit(asked_ms)
+            self._extend_lease(requested_ms)
             log_event("lease_taken", incarnation=self.incarnation)
-            self.taken()
+            self.on_lease_taken()
         else:
             self._loop.now()
 
@@ -205,21 +206,21 @@
     # Renewal and segments.
 
     async def _flush(self) -> None:
-        asked_ms = self.clock.now_ms()
+        requested_ms = self.clock.now_ms()
         segment = self.writer.cut()
-        if segment is not None and not await self._put(segment):
-            self._note_outage(asked_ms)
+        if segment is not None and not await self._put_segment(segment):
+            self._note_outage(requested_ms)
             return
-        await self._renew(segment, asked_ms)
+        await self._renew(segment, requested_ms)
 
-    async def _put(self, segment: Segment) -> bool:
+    async def _put_segment(self, segment: Segment) -> bool:
         outcome = await self.platform.put_object(segment.object_key, segment.to_bytes())
         if isinstance(outcome, Committed):
             return True
         self.writer.failed()
         return False
 
-    async def _renew(self, segment: Segment | None, asked_ms: float) -> None:
+    async def _renew(self, segment: Segment | None, requested_ms: float) -> None:
         key = lease_key(self.instance_id)
         assert self._version is not None
         value = self._lease_value(segment.number if segment else None)
@@ -229,62 +230,66 @@
         match outcome:
             case Committed():
                 self._version = outcome.versions[key]
-                self._counted(segment, asked_ms)
+                self._on_committed(segment, requested_ms)
             case Conflict():
-                await self._conflicted(outcome.rows.get(key), segment, asked_ms)
+                await self._resolve_conflict(
+                    outcome.rows.get(key), segment, requested_ms
+                )
             case Unavailable():
                 self.writer.failed()
-                self._note_outage(asked_ms)
+                self._note_outage(requested_ms)
             case _:
-                await self._read_back(segment, asked_ms)
+                await self._check_renewal(segment, requested_ms)
 
-    def _counted(self, segment: Segment | None, asked_ms: float) -> None:
-        self._permit(asked_ms)
+    def _on_committed(self, segment: Segment | None, requested_ms: float) -> None:
+        self._extend_lease(requested_ms)
         if segment is not None:
-            self.gained(self.writer.stored())
+            self.on_progress(self.writer.stored())
 
-    async def _read_back(self, segment: Segment | None, asked_ms: float) -> None:
+    async def _check_renewal(
+        self, segment: Segment | None, requested_ms: float
+    ) -> None:
         key = lease_key(self.instance_id)
         rows = await self.platform.read([key])
         if isinstance(rows, Unavailable):
             self.writer.failed()
-            self._note_outage(asked_ms)
+            self._note_outage(requested_ms)
             return
-        await self._conflicted(rows.rows.get(key), segment, asked_ms)
+        await self._resolve_conflict(rows.rows.get(key), segment, requested_ms)
 
-    async def _conflicted(
-        self, row: Row | None, segment: Segment | None, asked_ms: float
+    async def _resolve_conflict(
+        self, row: Row | None, segment: Segment | None, requested_ms: float
     ) -> None:
         """Compare the lease row with the last write, whose outcome is unclear."""
         if row is None or row.value["incarnation"] != self.incarnation:
-            self._lost()
+            self._on_lease_lost()
             return
         self._version = row.version
-        counted = segment is None or row.value["last_segment"] >= segment.number
-        if counted:
-            self._counted(segment, asked_ms)
+        committed = segment is None or row.value["last_segment"] >= segment.number
+        if committed:
+            self._on_committed(segment, requested_ms)
             return
         self.writer.failed()
-        self._permit(asked_ms)
+        self._extend_lease(requested_ms)
 
-    def _lost(self) -> None:
+    def _on_lease_lost(self) -> None:
         log_event("lease_lost", incarnation=self.incarnation)
         self._version = None
-        self._permitted_until_ms = float("-inf")
+        self._may_send_until_ms = float("-inf")
         self._loop.stop()
         if not self._stopping:
-            self.fenced()
+            self.on_fenced()
 
-    def _permit(self, asked_ms: float) -> None:
-        self._renewed_ms = asked_ms
-        self._permitted_until_ms = asked_ms + self.timers.lease_ms
+    def _extend_lease(self, requested_ms: float) -> None:
+        self._renewed_ms = requested_ms
+        self._may_send_until_ms = requested_ms + self.timers.lease_ms
         self._outage.proven()
         if self.store_out:
             self.store_out = False
             log_event("store_back")
-        self.gained([])
+        self.on_progress([])
 
-    def _note_outage(self, asked_ms: float) -> None:
+    def _note_outage(self, requested_ms: float) -> None:
         """Extend the time for sending during an outage: no entry can take over then.
 
         Not after a pause of this process while it held a lease: the table may have been
@@ -296,8 +301,8 @@
             log_event("store_out", output_goes_on=counts)
         self.store_out = True
         if counts:
-            self._permitted_until_ms = asked_ms + self.timers.lease_ms
-            self.gained([])
+            self._may_send_until_ms = requested_ms + self.timers.lease_ms
+            self.on_progress([])
 
     def begin_again(self, incarnation: str) -> None:
         """Start a new incarnation with an empty journal."""
@@ -322,12 +327,12 @@
         await self.platform.delete_object(object_key)
 
 
-def _orphaned(row: Row) -> dict[str, dict[str, Any] | None]:
+def _orphan_writes(row: Row) -> dict[str, dict[str, Any] | None]:
     """The writes that accompany deleting a lease row and allow adoption."""
     incarnation = row.value["incarnation"]
     return {orphan_key(incarnation): dict(row.value), alive_key(incarnation): None}
 
 
-def seal(row: Row) -> Transaction:
+def seal_transaction(row: Row) -> Transaction:
     """Seal an incarnation: its next renewal fails, its answers may be adopted."""
-    return Transaction({row.key: row.version}, {row.key: None, **_orphaned(row)})
+    return Transaction({row.key: row.version}, {row.key: None, **_orphan_writes(row)})
--- a/src/coursekeel/entry/answers/_open_stream.py
+++ b/src/coursekeel/entry/answers/_open_stream.py
@@ -18,15 +18,15 @@
         """Handle an event; ``now_ms`` is the current time if already read."""
 
     @abstractmethod
-    def head(self, attempt: int, head: StreamHead) -> None:
+    def handle_head(self, attempt: int, head: StreamHead) -> None:
         """Handle the head of an attempt's stream."""
 
     @abstractmethod
-    def line(self, attempt: int, line: TokensArrived) -> None:
+    def handle_tokens(self, attempt: int, event: TokensArrived) -> None:
         """Handle tokens of a stream."""
 
     @abstractmethod
-    def stream_ended(self, attempt: int, loss: Loss) -> None:
+    def handle_stream_end(self, attempt: int, loss: Loss) -> None:
         """Handle the end of an attempt's stream."""
 
 
@@ -34,18 +34,18 @@
 class OpenStream:
     """An open stream, and whether it holds a slot of its endpoint.
 
-    ``begins`` says that the stream started its run; ``head_ms`` and ``first_ms`` are
-    the times of its head and its first tokens.
+    ``begins`` says that the stream started its run; ``head_ms`` and ``first_tokens_ms``
+    are the times of its head and its first tokens.
     """
 
     endpoint_id: str
     stream: EngineStream
     opened_ms: float
-    holds_place: bool
+    holds_slot: bool
     begins: bool
     run_id: str = ""
     head_ms: float | None = None
-    first_ms: float | None = None
+    first_tokens_ms: float | None = None
 
 
 class AttemptListener(StreamListener):
@@ -59,14 +59,14 @@
 
     def head(self, head: StreamHead) -> None:
         """Handle the stream's head."""
-        self._owner.head(self._attempt, head)
+        self._owner.handle_head(self._attempt, head)
 
     def tokens(
         self, run_id: str, position: int, tokens: list[int], texts: list[str]
     ) -> None:
         """Handle tokens of a run, the first of them at ``position``."""
-        line = TokensArrived(self._attempt, run_id, position, tokens, texts)
-        self._owner.line(self._attempt, line)
+        event = TokensArrived(self._attempt, run_id, position, tokens, texts)
+        self._owner.handle_tokens(self._attempt, event)
 
     def finish(self, run_id: str, position: int, reason: str) -> None:
         """Handle the engine's finish marker."""
@@ -74,4 +74,4 @@
 
     def ended(self, loss: Loss) -> None:
         """Handle the end of the stream, with or without a finish marker."""
-        self._owner.stream_ended(self._attempt, loss)
+        self._owner.handle_stream_end(self._attempt, loss)
--- a/src/coursekeel/entry/answers/_reader.py
+++ b/src/coursekeel/entry/answers/_reader.py
@@ -13,7 +13,7 @@
 from coursekeel.entry.answers._answer_registry import AnswerRegistry
 from coursekeel.entry.answers._answer_task import AnswerTask
 from coursekeel.entry.answers._follower import Follower
-from coursekeel.entry.answers._relay import RelayFreshness, relay_request, take_reply
+from coursekeel.entry.answers._relay import RelayFreshness, pass_reply, relay_request
 from coursekeel.entry.answers._sinks import AnswerSink, Refusal
 from coursekeel.entry.control._peers_task import PeersTask
 from coursekeel.observe import log_event
@@ -24,9 +24,9 @@
 __all__ = ["AnswerReader", "CallerSink", "ReaderPorts", "instance_of"]
 
 # Delay between two lookups of an answer's owner.
-_LOOK_AGAIN_S = 0.1
+_LOOKUP_RETRY_S = 0.1
 # The owner is looked up again if its first reply takes longer: it may be paused.
-_FIRST_REPLY_S = 1.5
+_FIRST_REPLY_TIMEOUT_S = 1.5
 
 
 class CallerSink(Protocol):
@@ -41,9 +41,9 @@
     source_moved: Any
 
 
-class _Found(Enum):
+class _ReadOutcome(Enum):
     SERVED = "served"
-    LOOK_AGAIN = "look_again"
+    RETRY = "look_again"
     ABSENT = "absent"
 
 
@@ -74,87 +74,87 @@
     request_id: str
     sink: Any
     _follower: Follower[AnswerTask] | None = None
-    _moved: "Deferred[None] | None" = field(default=None)
+    _following_ended: "Deferred[None] | None" = field(default=None)
 
     async def read(self) -> bool:
         """Send the answer to its end; return False if there is no such answer."""
-        give_up_ms = self.ports.clock.now_ms() + self.ports.patience_ms
+        deadline_ms = self.ports.clock.now_ms() + self.ports.patience_ms
         while not self.sink.over:
             task = self.ports.registry.find(self.team, self.request_id)
             if task is not None and not task.gone:
                 await self.follow(task)
-                give_up_ms = self.ports.clock.now_ms() + self.ports.patience_ms
+                deadline_ms = self.ports.clock.now_ms() + self.ports.patience_ms
                 continue
-            found = await self._elsewhere()
-            if found is _Found.ABSENT:
+            found = await self._read_elsewhere()
+            if found is _ReadOutcome.ABSENT:
                 return False
-            if found is _Found.SERVED:
-                give_up_ms = self.ports.clock.now_ms() + self.ports.patience_ms
+            if found is _ReadOutcome.SERVED:
+                deadline_ms = self.ports.clock.now_ms() + self.ports.patience_ms
                 continue
-            if self.ports.clock.now_ms() > give_up_ms:
-                self._give_up()
+            if self.ports.clock.now_ms() > deadline_ms:
+                self._refuse_unreachable()
                 break
-            await deferLater(self.ports.reactor, _LOOK_AGAIN_S)
+            await deferLater(self.ports.reactor, _LOOKUP_RETRY_S)
         return True
 
     async def follow(self, task: AnswerTask) -> None:
         """Send an answer that this entry runs, until it ends or moves."""
         ended: Deferred[None] = Deferred()
-        self._moved = ended
+        self._following_ended = ended
         follower = Follower(task, self.sink, self.sink.held)
         self.sink.guard_by(task)
         self._follower = follower
-        self.sink.wake = lambda: self._wake(follower)
-        self.sink.source_moved = lambda: self._leave(ended)
+        self.sink.wake = lambda: self._resume(follower)
+        self.sink.source_moved = lambda: self._stop_following(ended)
         task.follow(follower)
         if self.sink.over:
-            self._leave(ended)
+            self._stop_following(ended)
         await ended
 
-    def _wake(self, follower: Follower[AnswerTask]) -> None:
+    def _resume(self, follower: Follower[AnswerTask]) -> None:
         follower.wake()
-        follower.task.left_behind()
+        follower.task.reader_progressed()
 
     def sink_closed(self) -> None:
         """Detach from the answer: the caller left or has received its end."""
         follower, self._follower = self._follower, None
         if follower is not None:
             follower.over = True
-            follower.task.left(follower)
-            self.ports.registry.left(follower.task)
-        if self._moved is not None:
-            self._leave(self._moved)
+            follower.task.remove_follower(follower)
+            self.ports.registry.on_reader_left(follower.task)
+        if self._following_ended is not None:
+            self._stop_following(self._following_ended)
 
-    def _leave(self, ended: "Deferred[None]") -> None:
+    def _stop_following(self, ended: "Deferred[None]") -> None:
         if not ended.called:
             ended.callback(None)
 
     # Answers of other entries.
 
-    async def _elsewhere(self) -> _Found:
+    async def _read_elsewhere(self) -> _ReadOutcome:
         self.sink.guard_by(None)
         found = await self.ports.registry.store.read(self.team, self.request_id)
         if isinstance(found, Unavailable) or found is None:
-            return await self._by_hint(store_out=found is not None)
+            return await self._relay_from_former_owner(store_out=found is not None)
         record, _ = found
         if record.state is not RecordState.RUNNING:
             return await self._replay(record)
         owner = instance_of(record.owner)
         if record.owner == self.ports.registry.journal.incarnation:
-            return _Found.LOOK_AGAIN
+            return _ReadOutcome.RETRY
         return await self._relay(owner, record.owner)
 
-    async def _by_hint(self, store_out: bool) -> _Found:
+    async def _relay_from_former_owner(self, store_out: bool) -> _ReadOutcome:
         """Without a row, try the entry whose generation the caller has read."""
         held = self.sink.held
         owner = instance_of(held.generation) if held is not None else ""
         if owner and owner != self.ports.instance_id:
             found = await self._relay(owner, "")
-            if found is _Found.SERVED:
+            if found is _ReadOutcome.SERVED:
                 return found
-        return _Found.LOOK_AGAIN if store_out else _Found.ABSENT
+        return _ReadOutcome.RETRY if store_out else _ReadOutcome.ABSENT
 
-    async def _relay(self, owner: str, incarnation: str) -> _Found:
+    async def _relay(self, owner: str, incarnation: str) -> _ReadOutcome:
         """Send the answer through the entry that owns it.
 
         ``incarnation`` is sealed if the owner refuses connections; empty if unknown.
@@ -162,8 +162,12 @@
         clock = self.ports.clock
         relay = _Relay(self.sink, clock, RelayFreshness(clock.now_ms()))
         request = relay_request(self.team, self.request_id, self.sink.held)
-        following = self.ports.peers.follow(owner, request, relay.took, relay.has_room)
-        timer = self.ports.reactor.callLater(_FIRST_REPLY_S, relay.give_up)
+        following = self.ports.peers.follow(
+            owner, request, relay.on_reply, relay.has_room
+        )
+        timer = self.ports.reactor.callLater(
+            _FIRST_REPLY_TIMEOUT_S, relay.cancel_if_silent
+        )
         done: Deferred[Any] = Deferred.fromCoroutine(following)
         relay.call = done
         try:
@@ -185,17 +189,17 @@
                 timer.cancel()
         if outcome is not None and outcome.refused and incarnation:
             log_event("owner_refuses", owner=owner, request=self.request_id)
-            await self.ports.adoption.seal_refusing(owner, incarnation)
+            await self.ports.adoption.seal_unreachable(owner, incarnation)
             await self.ports.adoption.adopt_one(self.team, self.request_id)
-            return _Found.LOOK_AGAIN
-        return _Found.SERVED if relay.served else _Found.LOOK_AGAIN
+            return _ReadOutcome.RETRY
+        return _ReadOutcome.SERVED if relay.served else _ReadOutcome.RETRY
 
-    async def _replay(self, record: AnswerRecord) -> _Found:
+    async def _replay(self, record: AnswerRecord) -> _ReadOutcome:
         """Send an answer that ended from the store."""
         result = await self.ports.registry.store.result(record)
         if isinstance(result, Unavailable):
-            return _Found.LOOK_AGAIN
-        start = self._start_of(result.tokens, record.generation)
+            return _ReadOutcome.RETRY
+        start = self._start_position(result.tokens, record.generation)
         end = len(result.tokens)
         upto = EventId(record.generation, end, digest_of(result.tokens))
         self.sink.stored()
@@ -206,9 +210,9 @@
             self.sink.finish(record.finish_reason, upto)
         else:
             self.sink.refuse(_refusal_of(record))
-        return _Found.SERVED
+        return _ReadOutcome.SERVED
 
-    def _start_of(self, tokens: list[int], generation: str) -> int:
+    def _start_position(self, tokens: list[int], generation: str) -> int:
         held = self.sink.held
         if held is None:
             return 0
@@ -219,7 +223,7 @@
         self.sink.restart(generation)
         return 0
 
-    def _give_up(self) -> None:
+    def _refuse_unreachable(self) -> None:
         refusal = Refusal(
             "answer_unreachable",
             "neither the answer's owner nor the store can be reached",
@@ -237,32 +241,33 @@
 
 @define(eq=False)
 class _Relay:
-    """State of one relay; ``first`` is set by the first reply, ``served`` by the first
-    one that was accepted.
+    """State of one relay.
+
+    ``replied`` is set by the first reply, ``served`` by the first accepted one.
     """
 
     sink: AnswerSink
     clock: Clock
     freshness: RelayFreshness
     served: bool = False
-    first: bool = False
+    replied: bool = False
     call: Any = None
 
-    def took(self, reply: Any) -> bool:
-        self.first = True
+    def on_reply(self, reply: Any) -> bool:
+        self.replied = True
         if not reply.found:
             return False
-        if not self.freshness.vouches_for(reply, self.clock.now_ms()):
+        if not self.freshness.accepts(reply, self.clock.now_ms()):
             log_event("relay_stale", right_ms=reply.right_ms)
             return False
         self.served = True
         if getattr(self.sink, "over", False):
             return False
-        return take_reply(reply, self.sink)
+        return pass_reply(reply, self.sink)
 
     def has_room(self) -> bool:
         return getattr(self.sink, "over", False) or not self.sink.full
 
-    def give_up(self) -> None:
-        if not self.first and self.call is not None:
+    def cancel_if_silent(self) -> None:
+        if not self.replied and self.call is not None:
             self.call.cancel()
--- a/src/coursekeel/entry/answers/_relay.py
+++ b/src/coursekeel/entry/answers/_relay.py
@@ -27,14 +27,14 @@
 __all__ = [
     "RelayFreshness",
     "RelaySink",
-    "held_in",
+    "held_event_id",
+    "pass_reply",
     "relay_request",
     "serve_follow",
-    "take_reply",
 ]
 
 # Replies queued for a slow reader before the follower pauses.
-_MOST_WAITING = 64
+_MAX_QUEUED_REPLIES = 64
 
 
 class RelaySink(AnswerSink):
@@ -50,7 +50,7 @@
     @property
     def full(self) -> bool:
         """Whether the queue is full or the stream is over."""
-        return self._over or self._replies.qsize() >= _MOST_WAITING
+        return self._over or self._replies.qsize() >= _MAX_QUEUED_REPLIES
 
     def stored(self) -> None:
         """Send that the request is stored."""
@@ -113,7 +113,7 @@
         return await self._replies.get()
 
 
-def held_in(request: Any) -> EventId | None:
+def held_event_id(request: Any) -> EventId | None:
     """The reader's last event id in a follow request, or None."""
     if not request.generation:
         return None
@@ -140,26 +140,28 @@
         return
     yield peer_pb2.FollowReply(found=True)
     sink = RelaySink()
-    follower = Follower(task, sink, held_in(request))
+    follower = Follower(task, sink, held_event_id(request))
     task.follow(follower)
     try:
         while not sink.drained:
-            reply = await _vouched_for(await sink.next_reply(), task)
+            reply = await _wait_until_sendable(await sink.next_reply(), task)
             yield reply
             if reply.moved:
                 return
             follower.wake()
     finally:
         follower.over = True
-        task.left(follower)
+        task.remove_follower(follower)
 
 
-async def _vouched_for(reply: Any, right: SendingRight) -> Any:
+async def _wait_until_sendable(reply: Any, right: SendingRight) -> Any:
     """Wait until the reply may be sent; return "moved" if it never may be."""
     while not right.gone:
-        left_ms = right.right_left_ms()
-        if left_ms > 0:
-            reply.right_ms = 0 if math.isinf(left_ms) else math.ceil(left_ms)
+        lease_left_ms = right.right_left_ms()
+        if lease_left_ms > 0:
+            reply.right_ms = (
+                0 if math.isinf(lease_left_ms) else math.ceil(lease_left_ms)
+            )
             return reply
         await asyncio.sleep(HELD_LOOK_S)
     return peer_pb2.FollowReply(found=True, moved=True)
@@ -169,25 +171,25 @@
 class RelayFreshness:
     """Checks by arrival times that an owner's replies were sent under its lease.
 
-    ``asked_ms`` is the time of the request. The owner checks its lease for a reply
+    ``requested_ms`` is the time of the request. The owner checks its lease for a reply
     after it sent the previous one. So if both arrive within the lease time that the
     second states, the lease was valid on its arrival; the margin that successors wait
     covers the network delay of the first.
     """
 
-    asked_ms: float
-    _heard_ms: float = field(init=False)
+    requested_ms: float
+    _last_reply_ms: float = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._heard_ms = self.asked_ms
+        self._last_reply_ms = self.requested_ms
 
-    def vouches_for(self, reply: Any, now_ms: float) -> bool:
+    def accepts(self, reply: Any, now_ms: float) -> bool:
         """Whether a reply that arrives now may be sent to the caller."""
-        silent_ms, self._heard_ms = now_ms - self._heard_ms, now_ms
-        return not reply.right_ms or silent_ms < reply.right_ms
+        since_last_ms, self._last_reply_ms = now_ms - self._last_reply_ms, now_ms
+        return not reply.right_ms or since_last_ms < reply.right_ms
 
 
-def take_reply(reply: Any, sink: AnswerSink) -> bool:
+def pass_reply(reply: Any, sink: AnswerSink) -> bool:
     """Pass a peer's reply to a sink; return False if it is the last one."""
     if reply.stored:
         sink.stored()
--- a/src/coursekeel/entry/answers/_requests.py
+++ b/src/coursekeel/entry/answers/_requests.py
@@ -57,7 +57,7 @@
     intent: Intent,
     request_id: str,
     keyed: bool,
-    most_tokens: int,
+    max_tokens_limit: int,
 ) -> GenerationRequest:
     """Parse a request; raises `RequestInvalid` with the path of the invalid field."""
     try:
@@ -79,11 +79,13 @@
         policy=intent.request_class(team.request_class),
         body=body,
         prompt_tokens=prompt_tokens,
-        max_tokens=_whole(raw, "max_tokens", _DEFAULT_MAX_TOKENS, 1, most_tokens),
+        max_tokens=_integer(
+            raw, "max_tokens", _DEFAULT_MAX_TOKENS, 1, max_tokens_limit
+        ),
         prompt_key=xxhash.xxh64_hexdigest(
             f"{team.name}\n{text[:_PREFIX_CHARACTERS]}".encode()
         ),
-        stream=_flag(raw, "stream"),
+        stream=_boolean(raw, "stream"),
         chat=chat,
     )
 
@@ -94,20 +96,22 @@
         raise RequestInvalid("model", f"expected a model's name, got {name!r:.40}")
     model = intent.model(name)
     if model is None or name not in team.models:
-        known = ", ".join(team.models) or "none"
-        raise RequestInvalid("model", f"unknown model {name!r:.80}; yours: {known}")
+        allowed = ", ".join(team.models) or "none"
+        raise RequestInvalid("model", f"unknown model {name!r:.80}; yours: {allowed}")
     return model
 
 
-def _whole(raw: dict[str, Any], name: str, default: int, least: int, most: int) -> int:
+def _integer(
+    raw: dict[str, Any], name: str, default: int, minimum: int, maximum: int
+) -> int:
     value = raw.get(name, default)
-    if type(value) is not int or not least <= value <= most:
-        expected = f"expected a whole number from {least} to {most}"
+    if type(value) is not int or not minimum <= value <= maximum:
+        expected = f"expected a whole number from {minimum} to {maximum}"
         raise RequestInvalid(name, f"{expected}, got {value!r:.40}")
     return value
 
 
-def _flag(raw: dict[str, Any], name: str) -> bool:
+def _boolean(raw: dict[str, Any], name: str) -> bool:
     value = raw.get(name, False)
     if not isinstance(value, bool):
         raise RequestInvalid(name, f"expected true or false, got {value!r:.40}")
@@ -130,8 +134,8 @@
     tokens = 0
     texts = []
     for index, part in enumerate(parts):
-        more, text = _part(part, f"{path}[{index}]")
-        tokens += more
+        part_tokens, text = _part(part, f"{path}[{index}]")
+        tokens += part_tokens
         texts.append(text)
     return tokens, "\n".join(texts)
 
@@ -145,13 +149,13 @@
         case "text" if isinstance(part.get("text"), str):
             return text_tokens(part["text"]), part["text"]
         case "image_url" if isinstance(part.get("image_url"), dict):
-            return _TOKENS_PER_IMAGE, _image_mark(part["image_url"], path)
-        case kind:
+            return _TOKENS_PER_IMAGE, _image_digest(part["image_url"], path)
+        case part_type:
             expected = "expected a part of type text or image_url with its content"
-            raise RequestInvalid(path, f"{expected}, got type {kind!r:.40}")
+            raise RequestInvalid(path, f"{expected}, got type {part_type!r:.40}")
 
 
-def _image_mark(image: dict[str, Any], path: str) -> str:
+def _image_digest(image: dict[str, Any], path: str) -> str:
     url = image.get("url")
     if not isinstance(url, str) or not url.startswith("data:"):
         # Fetching a caller's URL would give it access to the platform's network.
--- a/tests/common/paused_entry.py
+++ b/tests/common/paused_entry.py
@@ -103,11 +103,11 @@
 
     match point:
         case "line_read":
-            _before(AnswerTask, "line", stop)
+            _before(AnswerTask, "handle_tokens", stop)
         case "token_taken":
             _before(AnswerTask, "wake_followers", stop)
         case "right_asked":
-            _before(Follower, "_advance", stop)
+            _before(Follower, "_send_available", stop)
         case "written":
             _after(EventStream, "tokens", stop)
         case "loop_writes":
--- a/tests/cover/test_journal_task.py
+++ b/tests/cover/test_journal_task.py
@@ -9,7 +9,7 @@
 
 from coursekeel.answers import Ledger
 from coursekeel.entry.answers._answer_registry import AnswerRegistry
-from coursekeel.entry.answers._journal_task import JournalTask, seal
+from coursekeel.entry.answers._journal_task import JournalTask, seal_transaction
 from coursekeel.settings import Timers
 from coursekeel.storage import Committed, Rows, Unavailable
 from tests.common.fake_platform import FakePlatform
@@ -96,7 +96,7 @@
 
 def is_sealed(world):
     row = world.table.rows["leases/entry/entry-1"]
-    assert isinstance(world.table.apply(seal(row)), Committed)
+    assert isinstance(world.table.apply(seal_transaction(row)), Committed)
 
 
 def test_an_outage_that_is_seen_from_its_beginning_stops_nothing(entry):
--- a/tests/cover/test_relay.py
+++ b/tests/cover/test_relay.py
@@ -92,7 +92,7 @@
     def reply_is_made(self):
         """What happens before the reply goes."""
 
-    def left(self, follower):
+    def remove_follower(self, follower):
         self.readers.remove(follower)
 
 
@@ -165,12 +165,10 @@
 ):
     freshness = RelayFreshness(0.0)
     reply = peer_pb2.FollowReply(found=True, tokens=[1], right_ms=800)
-    assert [freshness.vouches_for(reply, each) for each in times_ms].count(
-        True
-    ) == passed
+    assert [freshness.accepts(reply, each) for each in times_ms].count(True) == passed
 
 
 def test_an_owner_that_says_nothing_of_its_right_is_believed():
     """Answers that nobody takes over, and entries that don't know of this yet."""
     freshness = RelayFreshness(0.0)
-    assert freshness.vouches_for(peer_pb2.FollowReply(found=True), 60_000.0)
+    assert freshness.accepts(peer_pb2.FollowReply(found=True), 60_000.0)
