--- a/tests/common/paused_entry.py
+++ b/tests/common/paused_entry.py
@@ -1,8 +1,8 @@
-"""An entry that stops itself at a chosen point of a token's way to its caller.
+"""An entry that pauses itself at a chosen point of a token's path to its caller.
 
 `python -m tests.common.paused_entry POINT --settings FILE` runs an entry. SIGUSR1 arms
-it; the next time that the point is reached it stops itself as SIGSTOP does, in the
-midst of what it does, until somebody sends SIGCONT.
+it; the next time that the point is reached the process sends itself SIGSTOP, until it
+receives SIGCONT.
 """
 
 import functools
@@ -15,8 +15,8 @@
 
 __all__ = ["OWN_CALLER_POINTS", "RELAY_POINTS", "WHOLE_ANSWER_POINT"]
 
-# In the order of a token's way. The last of each is right before the system call, or
-# the library's, that takes the bytes out of this program's hands.
+# In the order of a token's path. The last of each comes right before the system or
+# library call that sends the bytes.
 OWN_CALLER_POINTS = (
     "line_read",
     "token_taken",
@@ -45,20 +45,20 @@
     real = getattr(owner, name)
 
     @functools.wraps(real)
-    def wrapped(self, *given, **named):
+    def wrapped(self, *args, **kwargs):
         stop.reached()
-        return real(self, *given, **named)
+        return real(self, *args, **kwargs)
 
     setattr(owner, name, wrapped)
 
 
 def _after(owner: type, name: str, stop: _Stop) -> None:
-    """After a call that gave something true, or gives nothing."""
+    """Pause after a call, unless it returned False."""
     real = getattr(owner, name)
 
     @functools.wraps(real)
-    def wrapped(self, *given, **named):
-        result = real(self, *given, **named)
+    def wrapped(self, *args, **kwargs):
+        result = real(self, *args, **kwargs)
         if result is not False:
             stop.reached()
         return result
@@ -66,7 +66,7 @@
     setattr(owner, name, wrapped)
 
 
-def _while_written_is_unsent(stop: _Stop) -> None:
+def _before_socket_write(stop: _Stop) -> None:
     from twisted.internet.abstract import FileDescriptor
     from twisted.internet.tcp import Server
 
@@ -81,7 +81,7 @@
     FileDescriptor.doWrite = wrapped
 
 
-def _after_each_reply(stop: _Stop) -> None:
+def _after_reply_is_dequeued(stop: _Stop) -> None:
     from coursekeel.entry.answers._relay import RelaySink
 
     real = RelaySink.next_reply
@@ -111,13 +111,13 @@
         case "written":
             _after(EventStream, "tokens", stop)
         case "loop_writes":
-            _while_written_is_unsent(stop)
+            _before_socket_write(stop)
         case "body_written":
             _after(WholeAnswer, "finish", stop)
         case "reply_made":
             _after(RelaySink, "tokens", stop)
         case "reply_taken":
-            _after_each_reply(stop)
+            _after_reply_is_dequeued(stop)
         case _:
             raise ValueError(f"no such point: {point!r}")
 
--- a/tests/cover/test_guarded_connection.py
+++ b/tests/cover/test_guarded_connection.py
@@ -1,4 +1,4 @@
-"""Bytes leave a guarded connection only while their right is there, at the socket."""
+"""A guarded connection writes to its socket only while its `SendingRight` lasts."""
 
 import socket
 from types import SimpleNamespace
@@ -10,19 +10,19 @@
 from coursekeel.entry.answers._sinks import SendingRight
 from coursekeel.entry.http._guarded_connection import GuardedConnection
 
-ENOUGH_S = 0.1
-# More than two socket buffers of the kernel hold.
-MUCH = b"x" * (16 << 20)
+RECHECK_S = 0.1
+# More than the kernel's two socket buffers hold.
+LARGE_DATA = b"x" * (16 << 20)
 
 
 class Right(SendingRight):
     def __init__(self):
         self.gone = False
         self.left_ms = 1_000.0
-        self.asked = 0
+        self.check_count = 0
 
     def right_left_ms(self):
-        self.asked += 1
+        self.check_count += 1
         return self.left_ms
 
 
@@ -51,7 +51,7 @@
         return b""
 
 
-def round_of_the_reactor(world, seconds=0.0):
+def run_reactor_once(world, seconds=0.0):
     world.reactor.advance(seconds)
     if world.connection in world.reactor.writers:
         world.connection.doWrite()
@@ -62,66 +62,66 @@
     return not world.connection.connected
 
 
-def test_what_is_written_while_the_right_lasts_leaves(world):
+def test_bytes_are_sent_while_the_right_lasts(world):
     world.connection.write(b"token")
-    round_of_the_reactor(world)
+    run_reactor_once(world)
     assert received(world) == b"token"
 
 
-def test_what_was_written_before_the_right_lapsed_waits_until_it_is_there_again(world):
+def test_bytes_written_before_the_right_lapsed_wait_for_its_renewal(world):
     world.connection.write(b"token")
     world.right.left_ms = 0.0
-    round_of_the_reactor(world)
+    run_reactor_once(world)
     assert received(world) == b""
     assert world.connection not in world.reactor.writers
-    round_of_the_reactor(world, ENOUGH_S)
+    run_reactor_once(world, RECHECK_S)
     assert received(world) == b""
     world.right.left_ms = 1.0
-    round_of_the_reactor(world, ENOUGH_S)
+    run_reactor_once(world, RECHECK_S)
     assert received(world) == b"token"
 
 
-def test_what_was_written_before_the_right_was_gone_never_leaves(world):
+def test_bytes_written_before_the_right_was_lost_are_never_sent(world):
     world.connection.write(b"token")
     world.right.gone = True
-    round_of_the_reactor(world)
+    run_reactor_once(world)
     assert received(world) == b""
     assert ended(world)
 
 
-def test_a_lapsed_right_is_asked_for_a_few_times_a_second_while_something_waits(world):
+def test_a_lapsed_right_is_checked_a_few_times_a_second_while_bytes_wait(world):
     world.connection.write(b"token")
     world.right.left_ms = 0.0
     for _ in range(1_000):
-        round_of_the_reactor(world, 0.001)
-    assert 10 <= world.right.asked <= 30
+        run_reactor_once(world, 0.001)
+    assert 10 <= world.right.check_count <= 30
 
 
-def test_the_log_tells_once_that_something_waits(world, monkeypatch):
-    told = []
+def test_held_output_is_logged_once_per_lapse(world, monkeypatch):
+    events = []
     module = "coursekeel.entry.http._guarded_connection"
-    monkeypatch.setattr(f"{module}.log_event", lambda name, **_: told.append(name))
+    monkeypatch.setattr(f"{module}.log_event", lambda name, **_: events.append(name))
     for _ in range(2):
         world.right.left_ms = 0.0
         world.connection.write(b"token")
         for _ in range(1_000):
-            round_of_the_reactor(world, 0.001)
+            run_reactor_once(world, 0.001)
         world.right.left_ms = 1.0
-        round_of_the_reactor(world, ENOUGH_S)
-    assert told == ["output_held", "output_held"]
+        run_reactor_once(world, RECHECK_S)
+    assert events == ["output_held", "output_held"]
 
 
-def test_a_connection_with_nothing_under_way_can_still_say_where_to_go(world):
+def test_a_connection_without_unsent_bytes_can_still_send_a_redirect(world):
     world.connection.write(b"token")
-    round_of_the_reactor(world)
+    run_reactor_once(world)
     world.right.gone = True
     assert world.connection.withdraw()
     world.connection.write(b"moved")
-    round_of_the_reactor(world)
+    run_reactor_once(world)
     assert received(world) == b"tokenmoved"
 
 
-def test_a_connection_with_something_under_way_ends(world):
+def test_withdrawing_closes_a_connection_with_unsent_bytes(world):
     world.connection.write(b"token")
     world.right.gone = True
     assert not world.connection.withdraw()
@@ -129,49 +129,49 @@
     assert received(world) == b""
 
 
-def test_the_rest_for_a_slow_reader_waits_too(world):
-    world.connection.write(MUCH)
-    round_of_the_reactor(world)
+def test_the_unsent_rest_for_a_slow_reader_waits_too(world):
+    world.connection.write(LARGE_DATA)
+    run_reactor_once(world)
     world.right.left_ms = 0.0
-    first = len(received(world))
-    while more := len(received(world)):
-        first += more
-    round_of_the_reactor(world, ENOUGH_S)
-    assert 0 < first < len(MUCH)
+    received_bytes = len(received(world))
+    while more_bytes := len(received(world)):
+        received_bytes += more_bytes
+    run_reactor_once(world, RECHECK_S)
+    assert 0 < received_bytes < len(LARGE_DATA)
     assert received(world) == b""
 
 
-def test_after_its_last_byte_a_connection_is_free_for_what_comes_next(world):
+def test_a_released_connection_is_unguarded_after_its_last_byte(world):
     world.connection.write(b"end")
     world.connection.release()
-    round_of_the_reactor(world)
+    run_reactor_once(world)
     world.right.gone = True
     world.connection.write(b"another answer")
-    round_of_the_reactor(world)
+    run_reactor_once(world)
     assert received(world) == b"endanother answer"
 
 
-def test_the_last_bytes_are_still_under_their_right_when_all_is_written(world):
+def test_the_last_bytes_of_a_released_connection_are_still_guarded(world):
     world.connection.write(b"end")
     world.connection.release()
     world.right.gone = True
-    round_of_the_reactor(world)
+    run_reactor_once(world)
     assert received(world) == b""
     assert ended(world)
 
 
-def test_a_caller_that_leaves_while_something_waits_leaves_nothing_behind(world):
+def test_a_closed_connection_with_waiting_bytes_leaves_no_timer(world):
     world.connection.write(b"token")
     world.right.left_ms = 0.0
-    round_of_the_reactor(world)
+    run_reactor_once(world)
     world.connection.abortConnection()
     assert ended(world)
     assert not world.reactor.getDelayedCalls()
 
 
-def test_an_unguarded_connection_asks_nobody(world):
+def test_an_unguarded_connection_checks_no_right(world):
     world.connection.guard(None)
     world.connection.write(b"status")
-    round_of_the_reactor(world)
+    run_reactor_once(world)
     assert received(world) == b"status"
-    assert world.right.asked == 0
+    assert world.right.check_count == 0
--- a/tests/cover/test_relay.py
+++ b/tests/cover/test_relay.py
@@ -1,4 +1,4 @@
-"""Relayed answers keep to their reader's pace, and come from who may speak for them."""
+"""Relays pause for slow readers and drop replies sent without a valid lease."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class Call:
-    """A stream of replies that counts how many were read."""
+    """A stream of replies that counts the replies read."""
 
     def __init__(self, count):
         self.left = count
@@ -31,7 +31,7 @@
 
 
 class Peers(PeersTask):
-    """Only what following needs."""
+    """Only the part that `_follow` needs."""
 
     def __init__(self, call):
         self.call = call
@@ -43,32 +43,35 @@
         return Stub
 
 
-def test_a_slow_reader_stops_the_reading_from_the_peer():
+def test_a_slow_reader_pauses_reading_from_the_peer():
     call = Call(100)
-    room = {"free": False}
-    took = []
+    reader = {"free": False}
+    replies_taken = []
 
     async def run():
         following = asyncio.ensure_future(
             Peers(call)._follow(
-                "peer", None, lambda r: took.append(r) or True, lambda: room["free"]
+                "peer",
+                None,
+                lambda r: replies_taken.append(r) or True,
+                lambda: reader["free"],
             )
         )
-        while not took:
+        while not replies_taken:
             await asyncio.sleep(0)
         for _ in range(1_000):
             await asyncio.sleep(0)
-        held_up_at = call.read
-        room["free"] = True
+        read_while_paused = call.read
+        reader["free"] = True
         await following
-        return held_up_at
+        return read_while_paused
 
     assert asyncio.run(run()) == 1
-    assert len(took) == 100
+    assert len(replies_taken) == 100
 
 
 class Answer:
-    """As much of an answer's task as a relay sees."""
+    """The part of an answer's task that a relay uses."""
 
     def __init__(self):
         self.ledger = Ledger("entry-1~a-1")
@@ -87,17 +90,17 @@
     def follow(self, follower):
         self.readers.append(follower)
         follower.wake()
-        self.reply_is_made()
+        self.before_send()
 
-    def reply_is_made(self):
-        """What happens before the reply goes."""
+    def before_send(self):
+        """Hook that runs before the reply is sent."""
 
     def remove_follower(self, follower):
         self.readers.remove(follower)
 
 
-def followed(answer):
-    """The first reply to a reader that tells something."""
+def first_reply(answer):
+    """The first reply with content to a reader."""
     request = peer_pb2.FollowRequest(team="ikeja", request_id="1")
 
     async def run():
@@ -108,19 +111,19 @@
     return asyncio.run(run())
 
 
-def test_an_owner_says_how_long_it_may_still_speak():
-    reply = followed(Answer())
+def test_a_reply_states_the_owners_remaining_lease_time():
+    reply = first_reply(Answer())
     assert list(reply.tokens) == [1, 2, 3]
     assert reply.right_ms == 800
 
 
-def test_a_right_without_an_end_is_told_as_none():
+def test_an_unlimited_lease_time_is_sent_as_zero():
     answer = Answer()
     answer.left_ms = float("inf")
-    assert followed(answer).right_ms == 0
+    assert first_reply(answer).right_ms == 0
 
 
-def test_an_owner_that_was_fenced_tells_a_relay_to_look_elsewhere():
+def test_a_fenced_owner_replies_that_the_answer_moved():
     answer = Answer()
 
     def fence():
@@ -130,13 +133,13 @@
         answer.left_ms = 0.0
         asyncio.get_running_loop().call_later(0.1, fence)
 
-    answer.reply_is_made = lapse
-    reply = followed(answer)
+    answer.before_send = lapse
+    reply = first_reply(answer)
     assert reply.moved
     assert not reply.tokens
 
 
-def test_a_reply_that_waits_goes_once_the_right_is_there_again():
+def test_a_waiting_reply_is_sent_once_the_lease_is_renewed():
     answer = Answer()
 
     def lapse():
@@ -144,14 +147,14 @@
         loop = asyncio.get_running_loop()
         loop.call_later(0.1, lambda: setattr(answer, "left_ms", 500.0))
 
-    answer.reply_is_made = lapse
-    reply = followed(answer)
+    answer.before_send = lapse
+    reply = first_reply(answer)
     assert list(reply.tokens) == [1, 2, 3]
     assert reply.right_ms == 500
 
 
 @pytest.mark.parametrize(
-    ("times_ms", "passed"),
+    ("times_ms", "accepted_count"),
     [
         ([10, 20, 30], 3),
         ([10, 809, 1_608], 3),
@@ -160,15 +163,17 @@
         ([10, 3_000], 1),
     ],
 )
-def test_a_reply_that_comes_within_its_right_of_the_one_before_is_passed_on(
-    times_ms, passed
+def test_a_reply_is_accepted_within_its_lease_time_after_the_previous_one(
+    times_ms, accepted_count
 ):
     freshness = RelayFreshness(0.0)
     reply = peer_pb2.FollowReply(found=True, tokens=[1], right_ms=800)
-    assert [freshness.accepts(reply, each) for each in times_ms].count(True) == passed
+    assert [freshness.accepts(reply, now_ms) for now_ms in times_ms].count(
+        True
+    ) == accepted_count
 
 
-def test_an_owner_that_says_nothing_of_its_right_is_believed():
-    """Answers that nobody takes over, and entries that don't know of this yet."""
+def test_a_reply_without_a_lease_time_is_accepted():
+    """For answers that can't be taken over, and entries of older versions."""
     freshness = RelayFreshness(0.0)
     assert freshness.accepts(peer_pb2.FollowReply(found=True), 60_000.0)
--- a/tests/nocover/test_calls.py
+++ b/tests/nocover/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls to a plain service that may not be repeated, over real sockets."""
+"""Non-repeatable calls to a plain service, over real sockets."""
 
 import threading
 import time
@@ -29,11 +29,11 @@
     return site.entries[entry].ask("POST", PATH, body, headers=headers)
 
 
-def come_back(site, entry, key):
-    """The answer at another entry, asked for again as it says while it is unknown.
+def confirm_until_ended(site, entry, key):
+    """Repeat a call at another entry while that entry replies that it is in progress.
 
-    A result is given out before it is recorded, so that for some ms another entry finds
-    the claim still running. It says so, and when to come back.
+    A result is returned before it is recorded, so for some milliseconds other entries
+    still find the claim running.
     """
     deadline_s = time.monotonic() + 10
     while True:
@@ -50,15 +50,15 @@
     return service.get("/control/ran").get(key, 0)
 
 
-def test_a_second_call_with_the_key_gets_the_first_ones_result(site, service):
+def test_a_repeated_key_returns_the_first_calls_result(site, service):
     first = confirm(site, "entry-1", "k-1")
-    second = come_back(site, "entry-2", "k-1")
+    second = confirm_until_ended(site, "entry-2", "k-1")
     assert first[0] == 200
     assert first == second
     assert ran(service, "k-1") == 1
 
 
-def test_a_second_call_while_the_first_runs_comes_back_for_its_result(site, service):
+def test_a_repeated_key_during_the_first_call_is_refused_until_it_ends(site, service):
     service.fault(delay_ms=800)
     answers = []
     first = threading.Thread(
@@ -66,9 +66,9 @@
     )
     first.start()
     wait_until(lambda: ran(service, "k-7"), "the first call has reached the service")
-    meanwhile, body = confirm(site, "entry-2", "k-7")
-    assert (meanwhile, body["error"]["code"]) == (409, "in_progress")
-    second = come_back(site, "entry-2", "k-7")
+    status, body = confirm(site, "entry-2", "k-7")
+    assert (status, body["error"]["code"]) == (409, "in_progress")
+    second = confirm_until_ended(site, "entry-2", "k-7")
     first.join()
     service.fault(delay_ms=0)
     assert answers == [second]
@@ -76,7 +76,7 @@
     assert ran(service, "k-7") == 1
 
 
-def test_a_call_delivered_to_two_entries_at_once_runs_once(site, service):
+def test_a_call_sent_to_two_entries_at_once_runs_once(site, service):
     service.fault(delay_ms=100)
     answers = []
     threads = [
@@ -94,11 +94,11 @@
         assert status == 200 or body["error"]["run"] == "unknown"
 
 
-def test_a_lost_answer_is_unknown_and_never_sent_again(site, service):
+def test_a_call_with_a_lost_response_is_unknown_and_never_repeated(site, service):
     service.fault(lose_answers=1)
     status, body = confirm(site, "entry-1", "k-3")
     assert (status, body["error"]["run"]) == (502, "unknown")
-    status, body = come_back(site, "entry-2", "k-3")
+    status, body = confirm_until_ended(site, "entry-2", "k-3")
     assert (status, body["error"]["run"]) == (502, "unknown")
     assert ran(service, "k-3") == 1
 
@@ -119,7 +119,9 @@
     assert ran(service, "k-5") == 0
 
 
-def test_a_claim_whose_answer_was_lost_is_read_back_and_runs_once(site, service):
+def test_a_claim_whose_write_response_was_lost_is_read_back_and_runs_once(
+    site, service
+):
     site.platform.fault(lose_answers=1)
     confirm(site, "entry-1", "k-6")
     site.platform.fault(lose_answers=0)
@@ -127,15 +129,15 @@
     assert ran(service, "k-6") <= 1
 
 
-def test_a_lookup_needs_no_store(site):
+def test_a_safe_method_needs_no_store(site):
     site.platform.fault(outage=True)
     status, _ = site.entries["entry-1"].ask("GET", "/services/booking/slots/3")
     site.platform.fault(outage=False)
     assert status == 200
 
 
-def test_a_refusal_stands_for_good(site, service):
-    """Last, because it kills the service."""
+def test_a_refusal_is_final(site, service):
+    """Runs last because it kills the service."""
     site.processes["booking-1"].kill()
     status, body = confirm(site, "entry-1", "k-9")
     assert (status, body["error"]["run"]) == (503, "not_run")
--- a/tests/nocover/test_engine_faults.py
+++ b/tests/nocover/test_engine_faults.py
@@ -1,4 +1,4 @@
-"""Engines die, freeze, cut and lie, as processes on real sockets."""
+"""Engines crash, freeze, cut streams and send wrong ones, on real sockets."""
 
 import signal
 
@@ -20,7 +20,7 @@
         yield running
 
 
-def test_an_answer_goes_on_when_its_engine_is_killed(site):
+def test_an_answer_continues_when_its_engine_is_killed(site):
     caller = dossier(120)
     thread = reading(caller, site.entries["entry-1"].port)
     until_holding(caller, 20)
@@ -29,7 +29,7 @@
     assert caller.whole, (caller.error, caller.events, len(caller.tokens))
 
 
-def test_an_answer_goes_on_when_its_engine_freezes_and_wakes(site):
+def test_an_answer_continues_when_its_engine_freezes_and_resumes(site):
     caller = dossier(150)
     thread = reading(caller, site.entries["entry-1"].port)
     until_holding(caller, 20)
@@ -41,18 +41,18 @@
     assert caller.whole, (caller.error, caller.events, len(caller.tokens))
 
 
-def test_a_cut_connection_costs_no_engine_work(site):
-    before = generated(site)
+def test_a_cut_connection_causes_no_repeated_engine_work(site):
+    before = generated_tokens(site)
     caller = dossier(100)
     thread = reading(caller, site.entries["entry-1"].port)
     until_holding(caller, 20)
     site.engines[busy_engine(site)].fault(cut_all=True)
     thread.join(30)
     assert caller.whole, (caller.error, caller.events, len(caller.tokens))
-    assert generated(site) - before == 100
+    assert generated_tokens(site) - before == 100
 
 
-def generated(site) -> int:
+def generated_tokens(site) -> int:
     return sum(
         engine.get("/status")["counters"]["generated_tokens"]
         for name, engine in site.engines.items()
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_an_answer_is_whole_although_its_engine(site, fault):
+def test_an_answer_is_complete_despite_the_engine_fault(site, fault):
     for name, engine in site.engines.items():
         if site.processes[name].running:
             engine.fault(**{fault: 30})
@@ -96,14 +96,14 @@
         site.engines[name].fault(claims_version="1")
 
 
-def test_a_leaving_engine_gets_no_new_work_and_keeps_its_own(site):
+def test_a_leaving_engine_gets_no_new_work_and_keeps_its_runs(site):
     caller = dossier(150)
     thread = reading(caller, site.entries["entry-1"].port)
     until_holding(caller, 10)
     leaving = busy_engine(site)
     site.engines[leaving].fault(leaving=True)
     entries = site.entries.values()
-    wait_until(lambda: all(_sees_leaving(e, leaving) for e in entries), "seen")
+    wait_until(lambda: all(_has_leaving(e, leaving) for e in entries), "seen")
     runs = site.engines[leaving].get("/status")["counters"]["runs"]
     for _ in range(10):
         assert dossier(5).post(site.entries["entry-2"].port).whole
@@ -113,6 +113,6 @@
     site.engines[leaving].fault(leaving=False)
 
 
-def _sees_leaving(entry, name) -> bool:
-    found = entry.get("/operator/endpoints")["endpoints"]
-    return any(e["endpoint_id"] == name and not e["takes_new_work"] for e in found)
+def _has_leaving(entry, name) -> bool:
+    endpoints = entry.get("/operator/endpoints")["endpoints"]
+    return any(e["endpoint_id"] == name and not e["takes_new_work"] for e in endpoints)
--- a/tests/nocover/test_entry_faults.py
+++ b/tests/nocover/test_entry_faults.py
@@ -1,4 +1,4 @@
-"""Entries die, freeze and stop, and their callers come back elsewhere."""
+"""Entries crash, freeze and stop, and their callers reconnect to other entries."""
 
 import signal
 
@@ -27,14 +27,14 @@
         yield running
 
 
-def test_a_caller_gets_the_rest_from_another_entry_after_a_kill(site):
+def test_a_caller_gets_the_rest_from_another_entry_after_a_crash(site):
     caller, thread = begun(site)
     site.processes["entry-1"].kill()
     thread.join(10)
     check(comes_back(caller, site.entries["entry-2"].port))
 
 
-def test_entry_and_engine_killed_together(site):
+def test_an_answer_survives_entry_and_engine_killed_together(site):
     caller, thread = begun(site)
     site.processes[busy_engine(site)].kill()
     site.processes["entry-1"].kill()
@@ -42,7 +42,7 @@
     check(comes_back(caller, site.entries["entry-2"].port))
 
 
-def test_entry_and_its_adopter_killed(site):
+def test_an_answer_survives_its_owner_and_its_adopter_killed(site):
     caller, thread = begun(site, tokens=250)
     site.processes["entry-1"].kill()
     thread.join(10)
@@ -50,39 +50,34 @@
     thread = reading(caller, port, follow=True)
     wait_until(lambda: answers_of(site, "entry-2") or answers_of(site, "entry-3"), "")
     adopter = "entry-2" if answers_of(site, "entry-2") else "entry-3"
-    left = "entry-3" if adopter == "entry-2" else "entry-2"
+    remaining = "entry-3" if adopter == "entry-2" else "entry-2"
     site.processes[adopter].kill()
     thread.join(10)
-    check(comes_back(caller, site.entries[left].port))
+    check(comes_back(caller, site.entries[remaining].port))
 
 
-def test_a_frozen_owner_that_wakes_sends_nothing_of_what_is_anothers(site):
-    """Found beside load: the woken owner sent one or two tokens more (5 runs of 60).
+def test_an_owner_that_was_paused_sends_nothing_of_an_adopted_answer(site):
+    """Guards against sending buffered tokens of an answer that has been adopted.
 
-    The entry asked whether it may speak, wrote the token into its connection's buffer,
-    and was stopped before the reactor emptied the buffer; beside load it waits for the
-    processor there. It woke when the answer was another's, and the buffer left first.
-    A line at the socket showed it: in each of 5 failed runs, and in no other, one event
-    left 2,801 to 3,261 ms after the right had been asked for, 1,917 to 2,352 ms after
-    it had lapsed. `test_pauses_on_a_tokens_way.py` stops the entry just there.
+    `test_pauses_on_a_tokens_way.py` pauses the entry at each point of a token's path.
     """
     caller, thread = begun(site, tokens=300)
-    first = list(caller.tokens)
+    received_at_pause = list(caller.tokens)
     site.processes["entry-1"].signal(signal.SIGSTOP)
     other = dossier(300)
     other.request, other.request_id = caller.request, caller.request_id
     other.tokens, other.event_id = list(caller.tokens), caller.event_id
     check(comes_back(other, site.entries["entry-2"].port))
-    held = len(caller.tokens)
+    received_before = len(caller.tokens)
     site.processes["entry-1"].signal(signal.SIGCONT)
     thread.join(15)
-    assert len(first) <= held == len(caller.tokens)
+    assert len(received_at_pause) <= received_before == len(caller.tokens)
     assert "moved" in caller.events or "cut" in caller.events
     check(comes_back(caller, site.entries["entry-1"].port))
     assert caller.tokens == other.tokens
 
 
-def test_a_durable_answer_ends_without_its_caller_or_its_owner(site):
+def test_a_durable_answer_completes_without_its_caller_or_its_owner(site):
     caller = dossier(120)
     entry = site.entries["entry-1"]
     entry.key = "ikeja-key"
@@ -93,25 +88,25 @@
     check(comes_back(caller, site.entries["entry-3"].port))
 
 
-def test_a_planned_stop_cuts_no_stream(site):
+def test_a_planned_stop_completes_open_streams(site):
     caller, thread = begun(site)
     assert site.processes["entry-1"].end() == 0
     thread.join(10)
     check(caller)
 
 
-def test_a_stopping_entry_adopts_nothing_and_the_next_one_does(site):
+def test_a_stopping_entry_adopts_nothing_and_the_next_entry_does(site):
     site.processes["entry-3"].kill()
     caller, thread = begun(site, tokens=200)
-    last = dossier(400)
-    last_thread = reading(last, site.entries["entry-2"].port)
-    until_holding(last, 10)
+    open_caller = dossier(400)
+    open_thread = reading(open_caller, site.entries["entry-2"].port)
+    until_holding(open_caller, 10)
     site.processes["entry-2"].signal(signal.SIGTERM)
     wait_until(lambda: "event=entry_stopping" in site.log_of("entry-2"), "stopping")
     site.processes["entry-1"].kill()
     thread.join(10)
-    last_thread.join(20)
-    check(last)
+    open_thread.join(20)
+    check(open_caller)
     wait_until(lambda: not site.processes["entry-2"].running, "entry-2 ends")
     assert "event=answer_adopted" not in site.log_of("entry-2")
     site.launch_entry("entry-3", **FAST)
@@ -129,7 +124,7 @@
         check_logs(site)
 
 
-def test_answers_go_on_through_a_platform_outage_and_are_stored_after_it(site):
+def test_answers_continue_through_a_store_outage_and_are_stored_after_it(site):
     site.platform.fault(outage=True)
     caller = dossier(60)
     caller.post(site.entries["entry-1"].port)
@@ -143,7 +138,7 @@
     assert other.tokens == caller.tokens
 
 
-def test_engine_killed_during_a_platform_outage(site):
+def test_an_answer_survives_an_engine_killed_during_a_store_outage(site):
     caller, thread = begun(site)
     site.platform.fault(outage=True)
     site.processes[busy_engine(site)].kill()
@@ -153,15 +148,15 @@
 
 def test_another_teams_answer_is_not_found(site):
     caller, thread = begun(site, tokens=60)
-    stranger = dossier(60, team="wuse")
-    stranger.request_id = caller.request_id
+    other_team_caller = dossier(60, team="wuse")
+    other_team_caller.request_id = caller.request_id
     for name in ("entry-1", "entry-2"):
-        assert stranger.follow(site.entries[name].port).status == 404
+        assert other_team_caller.follow(site.entries[name].port).status == 404
     thread.join(20)
     check(caller)
 
 
-def test_a_restarted_entry_adopts_what_its_former_life_left(site):
+def test_a_restarted_entry_adopts_the_answers_of_its_previous_incarnation(site):
     caller, thread = begun(site)
     for name in ("entry-2", "entry-3"):
         site.processes[name].kill()
@@ -192,16 +187,16 @@
     caller.request["prompt"] = "first " * 10_000
     thread = reading(caller, site.entries["entry-1"].port)
     until_stored(caller)
-    rival = dossier(200)
-    rival.request_id = caller.request_id
-    rival.request["prompt"] = "second " * 10_000
-    rival_thread = reading(rival, site.entries["entry-2"].port)
-    until_holding(rival, 1)
+    other_caller = dossier(200)
+    other_caller.request_id = caller.request_id
+    other_caller.request["prompt"] = "second " * 10_000
+    other_thread = reading(other_caller, site.entries["entry-2"].port)
+    until_holding(other_caller, 1)
     site.processes[busy_engine(site)].kill()
     site.processes["entry-1"].kill()
     thread.join(10)
     check(comes_back(caller, site.entries["entry-3"].port))
-    rival_thread.join(10)
+    other_thread.join(10)
 
 
 def test_delivery_after_the_journal_never_restarts():
--- a/tests/nocover/test_pauses_on_a_tokens_way.py
+++ b/tests/nocover/test_pauses_on_a_tokens_way.py
@@ -1,8 +1,7 @@
-"""An owner is paused at a chosen point of a token's way, and another takes over.
+"""An owner is paused at a point of a token's path, and another entry takes over.
 
-The right to speak for an answer is asked for while a token is on its way to the caller.
-A pause between the question and the use of its answer may last until the answer belongs
-to another entry. What is still on its way then must not leave.
+Guards against a pause between the lease check and the send of a token: the owner must
+not send the token after another entry has adopted the answer.
 """
 
 import signal
@@ -30,58 +29,60 @@
 )
 
 
-def site_that_pauses(point):
-    """Three entries; the first stops at the point once it is armed."""
+def site_with_pause(point):
+    """Three entries; the first pauses at ``point`` after SIGUSR1."""
     return three_entries("tests.common.paused_entry", point)
 
 
 @pytest.mark.parametrize("point", OWN_CALLER_POINTS)
-def test_a_token_under_way_in_a_pause_stays_where_it_is(point):
-    with site_that_pauses(point) as site:
+def test_a_token_is_not_sent_after_a_pause_and_takeover(point):
+    with site_with_pause(point) as site:
         caller, thread = begun(site, tokens=300)
         pause_first_entry(site)
         other = twin_of(caller)
         check(comes_back(other, site.entries["entry-2"].port))
-        held = len(caller.tokens)
+        received_before = len(caller.tokens)
         site.processes["entry-1"].signal(signal.SIGCONT)
         thread.join(15)
-        assert len(caller.tokens) == held
+        assert len(caller.tokens) == received_before
         assert "moved" in caller.events or "cut" in caller.events
         check(comes_back(caller, site.entries["entry-1"].port))
         assert caller.tokens == other.tokens
 
 
 @pytest.mark.parametrize("point", RELAY_POINTS)
-def test_a_token_under_way_to_a_relay_in_a_pause_is_not_passed_on(point):
-    with site_that_pauses(point) as site:
+def test_a_relayed_token_is_not_sent_after_a_pause_and_takeover(point):
+    with site_with_pause(point) as site:
         caller, thread = begun(site, tokens=300)
         relayed = twin_of(caller)
         relayed_thread = reading(relayed, site.entries["entry-2"].port, follow=True)
         until_holding(relayed, len(relayed.tokens) + 5)
         pause_first_entry(site)
-        former = relayed.event_id.partition(".")[0]
+        former_generation = relayed.event_id.partition(".")[0]
         other = twin_of(caller)
         other_thread = reading(other, site.entries["entry-3"].port, follow=True)
         until_holding(other, len(relayed.tokens) + 5)
-        held = len(relayed.event_ids)
+        received_before = len(relayed.event_ids)
         site.processes["entry-1"].signal(signal.SIGCONT)
-        for each in (thread, relayed_thread, other_thread):
-            each.join(20)
+        for reader in (thread, relayed_thread, other_thread):
+            reader.join(20)
         check(other)
         check(relayed)
         assert relayed.tokens == other.tokens
-        later = relayed.event_ids[held:]
-        assert later and not any(each.startswith(former) for each in later)
+        received_after = relayed.event_ids[received_before:]
+        assert received_after and not any(
+            event_id.startswith(former_generation) for event_id in received_after
+        )
 
 
-def test_a_whole_answer_under_way_in_a_pause_stays_where_it_is():
-    with site_that_pauses(WHOLE_ANSWER_POINT) as site:
+def test_a_whole_answer_is_not_sent_after_a_pause_and_takeover():
+    with site_with_pause(WHOLE_ANSWER_POINT) as site:
         caller = dossier(100)
         caller.request["stream"] = False
         entry = site.entries["entry-1"]
         answers = []
 
-        def ask():
+        def request_answer():
             headers = {"idempotency-key": caller.request_id}
             http = Http(entry.port, caller.key)
             try:
@@ -91,14 +92,14 @@
             except (OSError, HTTPException) as failure:
                 answers.append((0, failure))
 
-        thread = threading.Thread(target=ask, daemon=True)
+        thread = threading.Thread(target=request_answer, daemon=True)
         thread.start()
         pause_first_entry(site)
         other = twin_of(caller)
         check(comes_back(other, site.entries["entry-2"].port))
         site.processes["entry-1"].signal(signal.SIGCONT)
         thread.join(15)
-        ((status, said),) = answers
-        assert status != 200, said
+        ((status, reply),) = answers
+        assert status != 200, reply
         check(comes_back(caller, entry.port))
         assert caller.tokens == other.tokens
