--- a/src/coursekeel/entry/answers/_follower.py
+++ b/src/coursekeel/entry/answers/_follower.py
@@ -1,4 +1,4 @@
-"""Brings one reader up to an answer's end, at the reader's own pace."""
+"""Sends an answer to one reader at the reader's pace."""
 
 from abc import abstractmethod
 from typing import Any, Generic, TypeVar
@@ -10,18 +10,18 @@
 
 __all__ = ["FollowedAnswer", "Follower"]
 
-# Tokens of one event to a caller that is far behind.
-_MOST_TOKENS_AN_EVENT = 512
-# A caller that holds a little more than this entry waits for the rest instead of being
-# told to drop it. Some seconds of a stream.
-_WAIT_AT_MOST_TOKENS = 256
+# Limit of tokens in one event.
+_MAX_TOKENS_PER_EVENT = 512
+# A reader that has up to this many more tokens than the ledger waits for the ledger to
+# catch up before it is restarted. A few seconds of a stream.
+_MAX_MISSING_TOKENS = 256
 
 
 class FollowedAnswer(SendingRight):
-    """What a reader sees of an answer.
+    """Interface of an answer for its readers.
 
-    ``stored`` says that the answer outlives its entry, ``gone`` that it isn't this
-    entry's any more, ``fenced`` that another has taken it over.
+    ``stored`` says that the answer's row is in the store, ``gone`` that this entry does
+    not own the answer any more, ``fenced`` that another has taken it over.
     """
 
     stored: bool
@@ -36,21 +36,21 @@
     @property
     @abstractmethod
     def ended(self) -> bool:
-        """Say whether nothing more will come."""
+        """Whether the answer produces no more tokens here."""
 
     @property
     @abstractmethod
     def finish_reason(self) -> str:
-        """Why a finished answer ended where it did."""
+        """The engine's reason for finishing the answer."""
 
     @property
     @abstractmethod
     def deliverable_end(self) -> int:
-        """How many tokens may leave for readers now."""
+        """The number of tokens that may be sent to readers now."""
 
     @abstractmethod
-    def left(self, follower: "Follower[Any]") -> None:
-        """A reader left or has everything."""
+    def remove_follower(self, follower: "Follower[Any]") -> None:
+        """Remove a reader that disconnected or has received the whole answer."""
 
 
 _AnswerT = TypeVar("_AnswerT", bound=FollowedAnswer)
@@ -58,10 +58,10 @@
 
 @define(eq=False)
 class Follower(Generic[_AnswerT]):
-    """A cursor on a ledger: nothing is buffered for a slow reader but its place.
+    """One reader's position in a ledger; nothing else is buffered for it.
 
-    ``held`` is what the reader says it holds; it is continued only once the ledger has
-    reached that place and the digests agree.
+    ``held`` is the reader's last event id; the reader continues from there if the
+    digest matches the ledger's, otherwise it restarts.
     """
 
     task: _AnswerT
@@ -69,36 +69,36 @@
     held: EventId | None = None
     cursor: int = 0
     over: bool = False
-    _told_stored: bool = False
+    _stored_reported: bool = False
 
     def wake(self) -> None:
-        """Give the reader what it may have by now."""
+        """Send the reader what is available and may be sent."""
         if self.over or self.sink.full:
             return
         if self.task.gone:
-            # What the ledger gained lately may not be in the answer of the new owner.
-            self._leave()
+            # The new owner's answer may differ from the ledger's latest tokens.
+            self._send_moved()
             return
         if not self.task.may_send():
             return
-        if self.task.stored and not self._told_stored:
-            self._told_stored = True
+        if self.task.stored and not self._stored_reported:
+            self._stored_reported = True
             self.sink.stored()
-        if self.held is not None and not self._verify(self.held):
+        if self.held is not None and not self._verify_held(self.held):
             return
-        self._advance()
+        self._send_available()
         if self.task.ended and not self.sink.full:
-            self._end()
+            self._send_end()
 
-    def _verify(self, held: EventId) -> bool:
-        """Settle whether the reader's tokens are a prefix of this ledger's.
+    def _verify_held(self, held: EventId) -> bool:
+        """Check that the reader's tokens are a prefix of the ledger; restart it if not.
 
-        A ledger that is still shorter can't tell yet. Waiting for it costs the reader
-        some tokens' time and often spares it starting anew.
+        Returns False while the ledger is slightly shorter: waiting for it often avoids
+        a restart.
         """
         ledger = self.task.ledger
         missing = held.position - ledger.next_position
-        if 0 < missing <= _WAIT_AT_MOST_TOKENS and not self.task.ended:
+        if 0 < missing <= _MAX_MISSING_TOKENS and not self.task.ended:
             return False
         self.held = None
         if ledger.agrees_with(held.position, held.digest):
@@ -107,13 +107,13 @@
             self.sink.restart(ledger.generation)
         return True
 
-    def _advance(self) -> None:
+    def _send_available(self) -> None:
         end = self.task.deliverable_end
         while self.cursor < end and not self.sink.full:
-            upto = min(end, self.cursor + _MOST_TOKENS_AN_EVENT)
-            self._give(upto)
+            upto = min(end, self.cursor + _MAX_TOKENS_PER_EVENT)
+            self._send_tokens(upto)
 
-    def _give(self, upto: int) -> None:
+    def _send_tokens(self, upto: int) -> None:
         ledger = self.task.ledger
         tokens = ledger.tokens_from(self.cursor, upto)
         text = ledger.text_between(self.cursor, upto)
@@ -121,15 +121,15 @@
         self.cursor = upto
         self.sink.tokens(event_id, tokens, text)
 
-    def _leave(self) -> None:
+    def _send_moved(self) -> None:
         self.over = True
         if self.task.fenced:
             self.sink.come_back()
         else:
             self.sink.moved()
-        self.task.left(self)
+        self.task.remove_follower(self)
 
-    def _end(self) -> None:
+    def _send_end(self) -> None:
         refusal = self.task.refusal
         if refusal is not None:
             self.over = True
@@ -138,4 +138,4 @@
             self.over = True
             self.sink.finish(self.task.finish_reason, self.task.ledger.event_id)
         if self.over:
-            self.task.left(self)
+            self.task.remove_follower(self)
--- a/src/coursekeel/entry/answers/_requests.py
+++ b/src/coursekeel/entry/answers/_requests.py
@@ -1,4 +1,4 @@
-"""Read a caller's generation request, checked before anything is done for it."""
+"""Parses and validates generation requests."""
 
 from functools import cached_property
 from typing import Any
@@ -13,23 +13,24 @@
 
 __all__ = ["GenerationRequest", "read_generation", "text_tokens"]
 
-# What the completions interface that callers know gives when none is named.
+# The default of the OpenAI completions API.
 _DEFAULT_MAX_TOKENS = 16
-# The field's rule of thumb for English text. It only weighs requests against each
-# other; engines count for themselves.
+# Usual estimate for English text, only for comparing requests' costs; engines count
+# exactly.
 _CHARACTERS_PER_TOKEN = 4
-# What a photograph weighs beside text.
+# Estimated cost of an image.
 _TOKENS_PER_IMAGE = 512
-# Prompts that share so much are sent to the same endpoint first. About a system prompt.
+# Prompts with the same prefix of this length prefer the same endpoint: about the length
+# of a system prompt.
 _PREFIX_CHARACTERS = 1_024
 
 
 @frozen
 class GenerationRequest:
-    """One checked request. ``body`` is what came, byte for byte; it is held once.
+    """One valid request; ``body`` is the original bytes.
 
-    ``keyed`` says whether the caller gave the request id, so that another entry may
-    know of it too.
+    ``keyed`` says whether the caller chose the request id, so that another entry may
+    have received the same request.
     """
 
     team: TeamIntent
@@ -46,7 +47,7 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """The same for what the same team asks again, whatever its id and entry."""
+        """Fingerprint of team and body, equal for repeated requests at any entry."""
         return request_fingerprint(self.team.name, b"generation", self.body)
 
 
@@ -56,9 +57,9 @@
     intent: Intent,
     request_id: str,
     keyed: bool,
-    most_tokens: int,
+    max_tokens_limit: int,
 ) -> GenerationRequest:
-    """Check a request; raises `RequestInvalid` with the path of the field at fault."""
+    """Parse a request; raises `RequestInvalid` with the path of the invalid field."""
     try:
         raw = orjson.loads(body)
     except ValueError as failure:
@@ -78,11 +79,13 @@
         policy=intent.request_class(team.request_class),
         body=body,
         prompt_tokens=prompt_tokens,
-        max_tokens=_whole(raw, "max_tokens", _DEFAULT_MAX_TOKENS, 1, most_tokens),
+        max_tokens=_integer(
+            raw, "max_tokens", _DEFAULT_MAX_TOKENS, 1, max_tokens_limit
+        ),
         prompt_key=xxhash.xxh64_hexdigest(
             f"{team.name}\n{text[:_PREFIX_CHARACTERS]}".encode()
         ),
-        stream=_flag(raw, "stream"),
+        stream=_boolean(raw, "stream"),
         chat=chat,
     )
 
@@ -93,20 +96,22 @@
         raise RequestInvalid("model", f"expected a model's name, got {name!r:.40}")
     model = intent.model(name)
     if model is None or name not in team.models:
-        known = ", ".join(team.models) or "none"
-        raise RequestInvalid("model", f"unknown model {name!r:.80}; yours: {known}")
+        allowed = ", ".join(team.models) or "none"
+        raise RequestInvalid("model", f"unknown model {name!r:.80}; yours: {allowed}")
     return model
 
 
-def _whole(raw: dict[str, Any], name: str, default: int, least: int, most: int) -> int:
+def _integer(
+    raw: dict[str, Any], name: str, default: int, minimum: int, maximum: int
+) -> int:
     value = raw.get(name, default)
-    if type(value) is not int or not least <= value <= most:
-        expected = f"expected a whole number from {least} to {most}"
+    if type(value) is not int or not minimum <= value <= maximum:
+        expected = f"expected a whole number from {minimum} to {maximum}"
         raise RequestInvalid(name, f"{expected}, got {value!r:.40}")
     return value
 
 
-def _flag(raw: dict[str, Any], name: str) -> bool:
+def _boolean(raw: dict[str, Any], name: str) -> bool:
     value = raw.get(name, False)
     if not isinstance(value, bool):
         raise RequestInvalid(name, f"expected true or false, got {value!r:.40}")
@@ -114,7 +119,7 @@
 
 
 def _prompt(prompt: Any, path: str) -> tuple[int, str]:
-    """About how many tokens the prompt has, and the text it starts with."""
+    """The estimated number of tokens, and the text for the prefix key."""
     if isinstance(prompt, str) and prompt:
         return text_tokens(prompt), prompt
     if isinstance(prompt, list) and prompt:
@@ -129,8 +134,8 @@
     tokens = 0
     texts = []
     for index, part in enumerate(parts):
-        more, text = _part(part, f"{path}[{index}]")
-        tokens += more
+        part_tokens, text = _part(part, f"{path}[{index}]")
+        tokens += part_tokens
         texts.append(text)
     return tokens, "\n".join(texts)
 
@@ -144,21 +149,21 @@
         case "text" if isinstance(part.get("text"), str):
             return text_tokens(part["text"]), part["text"]
         case "image_url" if isinstance(part.get("image_url"), dict):
-            return _TOKENS_PER_IMAGE, _image_mark(part["image_url"], path)
-        case kind:
+            return _TOKENS_PER_IMAGE, _image_digest(part["image_url"], path)
+        case part_type:
             expected = "expected a part of type text or image_url with its content"
-            raise RequestInvalid(path, f"{expected}, got type {kind!r:.40}")
+            raise RequestInvalid(path, f"{expected}, got type {part_type!r:.40}")
 
 
-def _image_mark(image: dict[str, Any], path: str) -> str:
+def _image_digest(image: dict[str, Any], path: str) -> str:
     url = image.get("url")
     if not isinstance(url, str) or not url.startswith("data:"):
-        # Fetching what a caller names would let it reach into the platform's network.
+        # Fetching a caller's URL would give it access to the platform's network.
         expected = "expected the image itself as a data: URL"
         raise RequestInvalid(f"{path}.image_url.url", f"{expected}, got {url!r:.40}")
     return xxhash.xxh64_hexdigest(url.encode())
 
 
 def text_tokens(text: str) -> int:
-    """About how many tokens a text has."""
+    """The estimated number of tokens of a text."""
     return max(1, len(text) // _CHARACTERS_PER_TOKEN)
