--- a/src/coursekeel/entry/http/__init__.py
+++ b/src/coursekeel/entry/http/__init__.py
@@ -1,3 +1,3 @@
-"""The entry's HTTP interfaces, for callers and for operators."""
+"""The entry's HTTP interfaces for callers, operators, balancers and metrics."""
 
 __all__: list[str] = []
--- a/src/coursekeel/entry/http/_api.py
+++ b/src/coursekeel/entry/http/_api.py
@@ -1,4 +1,4 @@
-"""The callers' interface to generations and their answers."""
+"""HTTP interface for callers: generations and their answers."""
 
 import math
 from typing import Any
@@ -17,7 +17,7 @@
 from coursekeel.entry.http._event_sinks import EventStream, WholeAnswer
 from coursekeel.entry.http._gate import Gate, check_id
 from coursekeel.entry.http._guarded_connection import connection_of
-from coursekeel.entry.http._late_stream import LateStream
+from coursekeel.entry.http._lazy_event_stream import LazyEventStream
 from coursekeel.errors import RequestInvalid
 from coursekeel.intents import TeamIntent
 from coursekeel.runtime import spawn
@@ -25,13 +25,13 @@
 
 __all__ = ["CallerApi"]
 
-# A caller whose answer is looked for elsewhere comes back then.
+# Sent with refusals after which the caller should retry.
 _RETRY_AFTER_MS = 1_000
 
 
 @define(eq=False)
 class CallerApi:
-    """Checks callers' requests and connects them with answers."""
+    """Validates callers' requests, begins answers and streams them."""
 
     settings: EntrySettings
     gate: Gate
@@ -49,143 +49,162 @@
     # Generations.
 
     async def completions(self, request: Any) -> Any:
-        """Begin a generation, or go on with the one that has this request id."""
+        """Begin a generation, or continue the one that has this request id."""
         team = self.gate.admit(request)
         if isinstance(team, Refusal):
             return refuse(request, team)
         try:
-            wanted = self._generation(request, team)
+            generation = self._parse_generation(request, team)
         except RequestInvalid as fault:
             return refuse(request, not_run("bad_request", str(fault)))
-        if len(wanted.body) > wanted.policy.body_limit_bytes:
-            limit = wanted.policy.body_limit_bytes
+        if len(generation.body) > generation.policy.body_limit_bytes:
+            limit = generation.policy.body_limit_bytes
             text = f"the body is over the class's limit of {limit} bytes"
             return refuse(request, not_run("too_large", text))
-        return await self._serve(request, wanted)
-
-    def _generation(self, request: Any, team: TeamIntent) -> GenerationRequest:
-        given = caller_key(request)
-        if given is not None:
-            check_id(given)
-        request_id = given or f"{self.settings.instance_id}~{uuid4().hex}"
-        # getvalue() shares the buffer's memory; read() would hold photographs twice.
+        return await self._serve(request, generation)
+
+    def _parse_generation(self, request: Any, team: TeamIntent) -> GenerationRequest:
+        key = caller_key(request)
+        if key is not None:
+            check_id(key)
+        request_id = key or f"{self.settings.instance_id}~{uuid4().hex}"
+        # getvalue() shares the buffer's memory; read() would copy large bodies.
         body = request.content.getvalue()
         return read_generation(
             body,
             team,
             self.gate.configuration.intent,
             request_id,
-            given is not None,
+            key is not None,
             self.settings.limits.max_tokens,
         )
 
-    async def _serve(self, request: Any, wanted: GenerationRequest) -> Any:
-        """Find the answer of a keyed request first; begin one where there is none."""
+    async def _serve(self, request: Any, generation: GenerationRequest) -> Any:
+        """Serve the answer of a request; begin one if none exists anywhere."""
         if "respond-async" in (request.getHeader("prefer") or ""):
-            return await self._respond_async(request, wanted)
-        held = _last_event_id(request)
-        if not self._is_here(wanted) and held is None:
-            refusal = self._no_room(wanted)
+            return await self._respond_async(request, generation)
+        last_event_id = _last_event_id(request)
+        if not self._is_local(generation) and last_event_id is None:
+            refusal = self._limit_refusal(generation)
             if refusal is not None:
                 return refuse(request, refusal)
-        sink, result = self._sink(request, wanted)
-        reader = self._reader(request, wanted.team.name, wanted.request_id, sink, held)
-        spawn(self._read(reader, wanted, held), "read_answer", self.readers.reactor)
+        sink, result = self._generation_sink(request, generation)
+        reader = self._make_reader(
+            request, generation.team.name, generation.request_id, sink, last_event_id
+        )
+        spawn(
+            self._serve_answer(reader, generation, last_event_id),
+            "read_answer",
+            self.readers.reactor,
+        )
         return await result
 
-    def _is_here(self, wanted: GenerationRequest) -> bool:
-        return self.registry.find(wanted.team.name, wanted.request_id) is not None
+    def _is_local(self, generation: GenerationRequest) -> bool:
+        return (
+            self.registry.find(generation.team.name, generation.request_id) is not None
+        )
 
-    async def _read(
-        self, reader: AnswerReader, wanted: GenerationRequest, held: EventId | None
+    async def _serve_answer(
+        self,
+        reader: AnswerReader,
+        generation: GenerationRequest,
+        last_event_id: EventId | None,
     ) -> None:
-        barred = self._barred(wanted)
-        # What is ready is given, though nothing more may be run for it.
-        looks = held is not None or barred is not None
-        if looks and await reader.read():
+        quarantine_refusal = self._quarantine_refusal(generation)
+        # An existing answer is served even if the request is barred from running.
+        may_exist = last_event_id is not None or quarantine_refusal is not None
+        if may_exist and await reader.read():
             return
-        if not self._is_here(wanted):
-            refusal = barred or self._no_room(wanted)
+        if not self._is_local(generation):
+            refusal = quarantine_refusal or self._limit_refusal(generation)
             if refusal is not None:
                 reader.sink.refuse(refusal)
                 return
-            self.registry.start(wanted)
+            self.registry.start(generation)
         if not await reader.read():
             reader.sink.refuse(_not_found())
 
-    def _barred(self, wanted: GenerationRequest) -> Refusal | None:
-        """Why nothing may be run for a request under which endpoints ended."""
-        barred_ms = self.registry.ports.gate.barred_ms(wanted)
+    def _quarantine_refusal(self, generation: GenerationRequest) -> Refusal | None:
+        """The refusal of a request that is barred after crashes; None if it isn't."""
+        barred_ms = self.registry.ports.gate.barred_ms(generation)
         if not barred_ms:
             return None
-        refusal = self._refusal(
-            "request_stops_engines", "endpoints ended under this request", wanted.keyed
+        refusal = self._make_refusal(
+            "request_stops_engines",
+            "endpoints crashed while they ran this request",
+            generation.keyed,
         )
         return evolve(refusal, retry_after_ms=math.ceil(barred_ms))
 
-    def _no_room(self, wanted: GenerationRequest) -> Refusal | None:
-        """Why a new answer can't be taken; what a caller's key did elsewhere counts."""
-        team = wanted.team
-        mine = [
-            each
-            for each in self.registry.tasks.values()
-            if each.request.team.name == team.name and not each.ended
+    def _limit_refusal(self, generation: GenerationRequest) -> Refusal | None:
+        """The refusal of a request that would exceed a limit; None if it doesn't."""
+        team = generation.team
+        open_tasks = [
+            task
+            for task in self.registry.tasks.values()
+            if task.request.team.name == team.name and not task.ended
         ]
-        if len(mine) >= team.open_answers_limit:
-            text = f"team {team.name} has {len(mine)} open answers, its limit"
-            return self._refusal("too_many_open", text, wanted.keyed)
-        if not self.registry.has_room(wanted):
-            text = "the store is out and no more requests can be kept for it"
-            return self._refusal("store_unavailable", text, wanted.keyed)
+        if len(open_tasks) >= team.open_answers_limit:
+            text = f"team {team.name} has {len(open_tasks)} open answers, its limit"
+            return self._make_refusal("too_many_open", text, generation.keyed)
+        if not self.registry.has_room(generation):
+            text = (
+                "the store is unavailable and the limit of unstored requests is reached"
+            )
+            return self._make_refusal("store_unavailable", text, generation.keyed)
         return None
 
-    def _refusal(self, code: str, text: str, keyed: bool) -> Refusal:
+    def _make_refusal(self, code: str, text: str, keyed: bool) -> Refusal:
         run = RunState.UNKNOWN if keyed else RunState.NOT_RUN
         return Refusal(code, text, run, _RETRY_AFTER_MS)
 
-    async def _respond_async(self, request: Any, wanted: GenerationRequest) -> Any:
-        """Answer 202 once the request is stored, so that the id is a promise."""
-        if not wanted.policy.durable:
+    async def _respond_async(self, request: Any, generation: GenerationRequest) -> Any:
+        """Answer 202 once the request is stored; its answer can be read later."""
+        if not generation.policy.durable:
             text = "respond-async needs a class whose answers are durable"
             return refuse(request, not_run("bad_request", text))
-        task = self.registry.find(wanted.team.name, wanted.request_id)
+        task = self.registry.find(generation.team.name, generation.request_id)
         if task is None:
-            refusal = self._barred(wanted) or self._no_room(wanted)
+            refusal = self._quarantine_refusal(generation) or self._limit_refusal(
+                generation
+            )
             if refusal is not None:
                 return refuse(request, refusal)
-            task = self.registry.start(wanted)
+            task = self.registry.start(generation)
         stored = await self.registry.until_stored(task)
         if not stored:
             self.registry.give_up(task)
-            text = "the store can't take the request now"
+            text = "the request can't be stored now"
             refusal = Refusal(
                 "store_unavailable", text, RunState.UNKNOWN, _RETRY_AFTER_MS
             )
             return refuse(request, refusal)
-        location = f"/v1/answers/{wanted.request_id}"
+        location = f"/v1/answers/{generation.request_id}"
         request.setHeader("location", location)
         request.setHeader("preference-applied", "respond-async")
-        return send_json(request, 202, {"id": wanted.request_id, "follow": location})
+        return send_json(
+            request, 202, {"id": generation.request_id, "follow": location}
+        )
 
     async def follow(self, request: Any, request_id: str) -> Any:
-        """Read an answer that was begun before, here or at another entry."""
+        """Read an existing answer, of this entry or another one."""
         team = self.gate.admit(request)
         if isinstance(team, Refusal):
             return refuse(request, team)
-        held = _last_event_id(request)
+        last_event_id = _last_event_id(request)
         accepts = request.getHeader("accept") or ""
-        streams = "text/event-stream" in accepts
-        sink, result = self._open_sink(request, request_id, "", False, streams)
-        reader = self._reader(request, team.name, request_id, sink, held)
-        spawn(self._follow(reader), "follow_answer", self.readers.reactor)
+        wants_stream = "text/event-stream" in accepts
+        sink, result = self._make_sink(request, request_id, "", False, wants_stream)
+        reader = self._make_reader(request, team.name, request_id, sink, last_event_id)
+        spawn(self._serve_existing(reader), "follow_answer", self.readers.reactor)
         return await result
 
-    async def _follow(self, reader: AnswerReader) -> None:
+    async def _serve_existing(self, reader: AnswerReader) -> None:
         if not await reader.read():
             reader.sink.refuse(_not_found())
 
     async def cancel(self, request: Any, request_id: str) -> Any:
-        """Give an answer up; only the entry that drives it can."""
+        """Cancel an answer; not found if another entry owns it."""
         team = self.gate.identify(request)
         if isinstance(team, Refusal):
             return refuse(request, team)
@@ -197,18 +216,22 @@
 
     # Streams.
 
-    def _sink(
-        self, request: Any, wanted: GenerationRequest
+    def _generation_sink(
+        self, request: Any, generation: GenerationRequest
     ) -> tuple[Any, "Deferred[Any]"]:
-        return self._open_sink(
-            request, wanted.request_id, wanted.model.name, wanted.chat, wanted.stream
+        return self._make_sink(
+            request,
+            generation.request_id,
+            generation.model.name,
+            generation.chat,
+            generation.stream,
         )
 
-    def _open_sink(
-        self, request: Any, request_id: str, model: str, chat: bool, streams: bool
+    def _make_sink(
+        self, request: Any, request_id: str, model: str, chat: bool, wants_stream: bool
     ) -> tuple[Any, "Deferred[Any]"]:
         result: Deferred[Any] = Deferred()
-        if not streams:
+        if not wants_stream:
             request.setHeader("x-request-id", request_id)
 
             def done(body: Any) -> None:
@@ -219,13 +242,20 @@
 
             connection = connection_of(request)
             return WholeAnswer(connection, request_id, model, chat, done), result
-        stream = LateStream(request, request_id, model, chat, self.open_streams, result)
+        stream = LazyEventStream(
+            request, request_id, model, chat, self.open_streams, result
+        )
         return stream, result
 
-    def _reader(
-        self, request: Any, team: str, request_id: str, sink: Any, held: EventId | None
+    def _make_reader(
+        self,
+        request: Any,
+        team: str,
+        request_id: str,
+        sink: Any,
+        last_event_id: EventId | None,
     ) -> AnswerReader:
-        sink.held = held
+        sink.held = last_event_id
         reader = AnswerReader(self.readers, team, request_id, sink)
         self.gate.open_requests += 1
         finished = request.notifyFinish()
@@ -241,7 +271,7 @@
         return reader
 
     def keep_alive(self) -> None:
-        """Let callers see that their entry lives, though no token comes."""
+        """Write a keep-alive comment to each open stream."""
         for stream in self.open_streams:
             stream.keep_alive()
 
--- a/src/coursekeel/entry/http/_calls.py
+++ b/src/coursekeel/entry/http/_calls.py
@@ -1,4 +1,4 @@
-"""The callers' interface to plain services."""
+"""HTTP interface for callers: calls to plain services."""
 
 from typing import Any
 
@@ -18,20 +18,20 @@
 __all__ = ["ServiceApi"]
 
 _CALL_MESSAGES = {
-    "in_progress": "a call with this key is under way, or its entry died in it",
+    "in_progress": "a call with this key is in progress, or its entry crashed",
     "key_reused": "this key was used for another call",
     "refused_before": "a call with this key was refused; use a new key",
     "answer_lost": "the call was sent and its answer was lost",
-    "store_unavailable": "the store can't be asked whether the key is new",
-    "claim_unsure": "whether the key is new can't be settled now",
+    "store_unavailable": "the store is unavailable, so the key can't be checked",
+    "claim_unsure": "it can't be determined now whether the key is new",
     "no_endpoint": "no endpoint of the service takes calls now",
-    "request_stops_engines": "endpoints ended under this call",
+    "request_stops_engines": "endpoints crashed while they ran this call",
 }
 
 
 @define(eq=False)
 class ServiceApi:
-    """Checks calls and hands them to the task that carries them."""
+    """Validates calls and passes them to `CallsTask`."""
 
     gate: Gate
     calls: CallsTask
@@ -40,32 +40,32 @@
 
     def routes(self, app: Klein) -> None:
         """Add the services' route."""
-        every = ["GET", "POST", "PUT", "PATCH", "DELETE"]
-        app.route("/services/<service>/<path:path>", methods=every)(self.service)
+        methods = ["GET", "POST", "PUT", "PATCH", "DELETE"]
+        app.route("/services/<service>/<path:path>", methods=methods)(self.service)
 
     @property
     def _intent(self) -> Intent:
         return self.gate.configuration.intent
 
     async def service(self, request: Any, service: str, path: str) -> Any:
-        """Carry one call to a plain service."""
+        """Forward one call to a plain service."""
         team = self.gate.admit(request)
         if isinstance(team, Refusal):
             return refuse(request, team)
-        found = self._intent.service(service)
-        if found is None or service not in team.services:
+        service_intent = self._intent.service(service)
+        if service_intent is None or service not in team.services:
             text = f"team {team.name} has no service {service!r}"
             return refuse(request, not_run("not_found", text))
-        wanted = self._call_request(request, team, found, path)
-        if isinstance(wanted, Refusal):
-            return refuse(request, wanted)
+        call = self._call_request(request, team, service_intent, path)
+        if isinstance(call, Refusal):
+            return refuse(request, call)
         started_ms = self.clock.now_ms()
         self.gate.open_requests += 1
         try:
-            reply = await self.calls.call(wanted)
+            reply = await self.calls.call(call)
         finally:
             self.gate.open_requests -= 1
-        self._count(wanted, reply, started_ms)
+        self._record_metrics(call, reply, started_ms)
         return _send_call_reply(request, reply)
 
     def _call_request(
@@ -78,7 +78,7 @@
         except RequestInvalid as fault:
             return not_run("bad_request", str(fault))
         query = request.uri.partition(b"?")[2].decode("ascii", "replace")
-        wanted = CallRequest(
+        call = CallRequest(
             team=team,
             service=service,
             policy=self._intent.request_class(service.request_class),
@@ -88,13 +88,15 @@
             body=request.content.getvalue(),
             key=key,
         )
-        if wanted.route is None:
-            text = f"service {service.name} has no route {wanted.method} {wanted.path}"
+        if call.route is None:
+            text = f"service {service.name} has no route {call.method} {call.path}"
             return not_run("not_found", text)
-        return wanted
+        return call
 
-    def _count(self, wanted: CallRequest, reply: CallReply, started_ms: float) -> None:
-        labels = {"team": wanted.team.name, "class": wanted.policy.name}
+    def _record_metrics(
+        self, call: CallRequest, reply: CallReply, started_ms: float
+    ) -> None:
+        labels = {"team": call.team.name, "class": call.policy.name}
         took_s = (self.clock.now_ms() - started_ms) / 1000
         self.metrics.call_s.observe(labels, took_s)
         self.metrics.requests.inc({**labels, "outcome": reply.code or "finished"})
@@ -108,6 +110,6 @@
             request.setHeader("idempotent-replayed", "true")
         return reply.reply.body
     message = _CALL_MESSAGES.get(reply.code, reply.code)
-    # The call's core says "not run" only with its proof.
+    # The call's core reports "not run" only if the stored claim confirms it.
     refusal = Refusal(reply.code, message, reply.run, reply.retry_after_ms)
-    return refuse(request, refusal, proved=True)
+    return refuse(request, refusal, confirmed=True)
--- a/src/coursekeel/entry/http/_common.py
+++ b/src/coursekeel/entry/http/_common.py
@@ -1,4 +1,4 @@
-"""What all of the HTTP interface shares: keys, errors, headers, bodies."""
+"""Helpers of the HTTP interfaces: bearer keys, errors and JSON replies."""
 
 import hashlib
 import hmac
@@ -40,12 +40,12 @@
     "queue_full": 429,
     "no_endpoint": 503,
 }
-# For a code without a status of its own: nothing was done, come back.
+# For codes without an entry of their own: the caller should retry.
 _DEFAULT_STATUS = 503
 
 
 def key_hash(key: str) -> str:
-    """The form in which a bearer key is kept: its SHA-256 in hexadecimal."""
+    """The stored form of a bearer key: its SHA-256 in hexadecimal."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -57,28 +57,28 @@
 
 
 def team_of(request: Any, intent: Intent) -> TeamIntent | None:
-    """The team whose key the request carries; every key is compared, none skipped."""
-    given = key_hash(bearer_key(request))
-    found = None
+    """The team of the request's key; compares all keys, against timing attacks."""
+    request_hash = key_hash(bearer_key(request))
+    match = None
     for team in intent.teams:
-        for known in team.key_hashes:
-            if hmac.compare_digest(given, known):
-                found = team
-    return found
+        for team_hash in team.key_hashes:
+            if hmac.compare_digest(request_hash, team_hash):
+                match = team
+    return match
 
 
 def operator_of(request: Any, settings: EntrySettings) -> OperatorKey | None:
-    """The operator whose key the request carries."""
-    given = key_hash(bearer_key(request))
-    found = None
+    """The operator of the request's bearer key."""
+    request_hash = key_hash(bearer_key(request))
+    match = None
     for operator in settings.operators:
-        if hmac.compare_digest(given, operator.key_hash):
-            found = operator
-    return found
+        if hmac.compare_digest(request_hash, operator.key_hash):
+            match = operator
+    return match
 
 
 def error_body(refusal: Refusal) -> dict[str, Any]:
-    """The typed body of every error."""
+    """The JSON body of an error."""
     return {
         "error": {
             "code": refusal.code,
@@ -91,25 +91,25 @@
 
 
 def send_json(request: Any, status: int, body: Any) -> bytes:
-    """Answer with JSON."""
+    """Set the status and content type; returns the encoded body."""
     request.setResponseCode(status)
     request.setHeader("content-type", "application/json")
     return orjson.dumps(body)
 
 
 def caller_key(request: Any) -> str | None:
-    """The id that the caller gave its request, under which others may know it."""
-    given = request.getHeader("idempotency-key") or request.getHeader("x-request-id")
-    return None if given is None else str(given)
+    """The caller's own id of its request, which other entries may have seen too."""
+    key = request.getHeader("idempotency-key") or request.getHeader("x-request-id")
+    return None if key is None else str(key)
 
 
-def refuse(request: Any, refusal: Refusal, proved: bool = False) -> bytes:
-    """Answer with a typed error, and with when to come back.
+def refuse(request: Any, refusal: Refusal, confirmed: bool = False) -> bytes:
+    """Set the status and headers of an error; returns its encoded body.
 
-    Of a request with a caller's key this entry knows only its own part: another may
-    have run it. "Not run" is then said only if ``proved`` by what the table holds.
+    Another entry may have run a request that has a caller's key. For such a request
+    "not run" is reported only if it is ``confirmed`` by the store, else "unknown".
     """
-    if refusal.run is RunState.NOT_RUN and not proved and caller_key(request):
+    if refusal.run is RunState.NOT_RUN and not confirmed and caller_key(request):
         refusal = evolve(refusal, run=RunState.UNKNOWN)
     if refusal.retry_after_ms:
         seconds = math.ceil(refusal.retry_after_ms / 1000)
@@ -119,5 +119,5 @@
 
 
 def not_run(code: str, message: str, retry_after_ms: int = 0) -> Refusal:
-    """A refusal before anything was done for an id that only this entry knows."""
+    """A refusal of a request of which nothing was run."""
     return Refusal(code, message, RunState.NOT_RUN, retry_after_ms)
--- a/src/coursekeel/entry/http/_event_sinks.py
+++ b/src/coursekeel/entry/http/_event_sinks.py
@@ -1,4 +1,4 @@
-"""Answers as callers see them: server-sent events, or one JSON body."""
+"""Sinks that write an answer to a caller: server-sent events, or one JSON body."""
 
 from typing import Any
 
@@ -21,8 +21,8 @@
 class EventStream(AnswerSink):
     """Writes an answer as server-sent events.
 
-    It is the connection's producer: while the caller's buffer is full it takes nothing
-    and its place in the ledger is all that is kept for it.
+    It is the connection's push producer: while the caller's buffer is full it accepts
+    no tokens, and only its position in the ledger is kept.
     """
 
     def __init__(self, request: Any, request_id: str, model: str, chat: bool) -> None:
@@ -33,7 +33,7 @@
         self.held: EventId | None = None
         self.wake: Any = None
         self.source_moved: Any = None
-        self._told_stored = False
+        self._stored_sent = False
         kind = b"chat.completion.chunk" if chat else b"text_completion"
         self._head = b'"id":%s,"object":"%s","model":%s' % (
             orjson.dumps(request_id),
@@ -44,7 +44,7 @@
         self._request_id = request_id
 
     def open(self) -> None:
-        """Send the headers; from here on every word is an event."""
+        """Send the headers; from here on even errors are events."""
         request = self._request
         request.setHeader("content-type", "text/event-stream")
         request.setHeader("cache-control", "no-store")
@@ -53,11 +53,11 @@
         request.write(b": open\n\n")
 
     def keep_alive(self) -> None:
-        """Show that the entry lives."""
+        """Write a comment, so that the caller and proxies keep the connection open."""
         if not self.full:
             self._request.write(b": alive\n\n")
 
-    # The transport's side.
+    # Producer interface, called by the transport.
 
     def pauseProducing(self) -> None:
         """The caller's buffer is full."""
@@ -70,28 +70,28 @@
             self.wake()
 
     def stopProducing(self) -> None:
-        """The caller is gone."""
+        """The connection was lost."""
         self.over = True
 
-    # The answer's side.
+    # Sink interface, called by the answer's reader.
 
     def guard_by(self, right: SendingRight | None) -> None:
-        """Let what is written leave only under this right."""
+        """Send what is written from now on only while this right holds."""
         self._connection.guard(right)
 
     @property
     def full(self) -> bool:
-        """Say whether the caller is slow."""
+        """Say whether the caller's buffer is full or the stream over."""
         return self._paused or self.over
 
     def stored(self) -> None:
-        """Tell that the request will be carried to its end."""
-        if not self._told_stored:
-            self._told_stored = True
+        """Report, once, that the request is stored and will be completed."""
+        if not self._stored_sent:
+            self._stored_sent = True
             self._request.write(_event("stored", {}))
 
     def restart(self, generation: str) -> None:
-        """Tell the caller to drop what it holds."""
+        """Tell the caller to drop the tokens it holds: a new generation starts."""
         self.held = None
         self._request.write(_event("restart", {"generation": generation}))
 
@@ -111,7 +111,7 @@
         )
 
     def finish(self, reason: str, upto: EventId) -> None:
-        """Write the last event, which makes the answer whole."""
+        """Write the last event and end the stream; the answer is complete."""
         self._request.write(
             b'id: %s\ndata: {%s,"choices":[{"index":0,%s,"token_ids":[],'
             b'"finish_reason":%s}],"usage":{"completion_tokens":%d}}\n\n'
@@ -127,12 +127,12 @@
         self._close()
 
     def refuse(self, refusal: Refusal) -> None:
-        """Write the final word."""
+        """Write an error event and end the stream."""
         self._request.write(_event("error", error_body(refusal)))
         self._close()
 
     def moved(self) -> None:
-        """Look for the answer where it is now."""
+        """Another entry owns the answer now: have the reader follow it there."""
         if self.source_moved is not None:
             self.guard_by(None)
             self.source_moved()
@@ -140,9 +140,9 @@
             self.come_back()
 
     def come_back(self) -> None:
-        """Send the caller to another entry.
+        """Tell the caller to reconnect, since another entry owns the answer.
 
-        If something waits to leave, the connection just ends: that says the same.
+        If unsent bytes are buffered, the connection is aborted instead.
         """
         if not self._connection.withdraw():
             self.over = True
@@ -157,7 +157,7 @@
 
 
 class WholeAnswer(AnswerSink):
-    """Collects an answer and gives it as one JSON body."""
+    """Collects an answer and passes its JSON body, or a `Refusal`, to ``done``."""
 
     def __init__(
         self,
@@ -180,19 +180,19 @@
         self.source_moved: Any = None
 
     def guard_by(self, right: SendingRight | None) -> None:
-        """Let the answer leave only under this right."""
+        """Send the answer only while this right holds."""
         self._connection.guard(right)
 
     @property
     def full(self) -> bool:
-        """Memory is bounded by the answer's own length."""
+        """Say whether the answer is over; an open one accepts all tokens."""
         return self.over
 
     def stored(self) -> None:
-        """Nothing to tell before the end."""
+        """Do nothing: a JSON body has no place for progress."""
 
     def restart(self, generation: str) -> None:
-        """Drop what was collected."""
+        """Drop the collected tokens: a new generation starts."""
         self.held = None
         self._tokens.clear()
         self._texts.clear()
@@ -204,13 +204,13 @@
         self._texts.append(text)
 
     def finish(self, reason: str, upto: EventId) -> None:
-        """Give the whole answer."""
+        """Pass on the complete answer."""
         self.over = True
         text = "".join(self._texts)
-        shown = {"message": {"role": "assistant", "content": text}}
+        message = {"message": {"role": "assistant", "content": text}}
         choice = {
             "index": 0,
-            **(shown if self._chat else {"text": text}),
+            **(message if self._chat else {"text": text}),
             "token_ids": self._tokens,
             "finish_reason": reason,
         }
@@ -226,19 +226,26 @@
         )
 
     def refuse(self, refusal: Refusal) -> None:
-        """Give the final word."""
+        """Pass on the refusal."""
         self.over = True
         self._done(refusal)
 
     def moved(self) -> None:
-        """Look for the answer where it is now."""
+        """Another entry owns the answer now: have the reader follow it there."""
         if self.source_moved is not None:
             self.guard_by(None)
             self.source_moved()
 
     def come_back(self) -> None:
-        """Nothing was given out yet, so the caller may simply ask again."""
+        """Refuse with ``moved``: nothing was sent yet, so the caller can just retry."""
         if self._connection.withdraw():
-            self.refuse(Refusal("moved", "ask again", RunState.UNKNOWN, 500))
+            self.refuse(
+                Refusal(
+                    "moved",
+                    "another entry owns the answer now; ask again",
+                    RunState.UNKNOWN,
+                    500,
+                )
+            )
         else:
             self.over = True
--- a/src/coursekeel/entry/http/_gate.py
+++ b/src/coursekeel/entry/http/_gate.py
@@ -1,4 +1,4 @@
-"""Who may come in: what every caller's request passes before it is looked at."""
+"""Admission of callers' requests: authentication, readiness, limit of open requests."""
 
 from typing import Any
 
@@ -13,15 +13,18 @@
 
 __all__ = ["Gate", "check_id"]
 
-# Ids stand in row keys and log lines.
-_ID_LIMIT = 128
-# An entry that starts or stops: another one, or this one a second later, can serve.
+# Ids become part of row keys and log lines.
+_MAX_ID_LENGTH = 128
+# After this the caller may retry, here or at another entry.
 _RETRY_AFTER_MS = 1_000
 
 
 @define(eq=False)
 class Gate:
-    """Counts open requests, and turns callers away whom this entry can't serve."""
+    """Authenticates callers, counts open requests, and refuses while it can't serve.
+
+    Relies on its callers to count ``open_requests`` up and down.
+    """
 
     settings: EntrySettings
     configuration: ConfigurationTask
@@ -29,18 +32,18 @@
     open_requests: int = 0
 
     def admit(self, request: Any) -> TeamIntent | Refusal:
-        """The request's team, or why it isn't let in."""
-        turned_away = self._turned_away(request)
-        return turned_away or self.identify(request)
+        """Return the team of a request, or why the request is refused."""
+        refusal = self._readiness_refusal(request)
+        return refusal or self.identify(request)
 
     def identify(self, request: Any) -> TeamIntent | Refusal:
-        """The request's team; also while this entry takes no new requests."""
+        """Return the team of a request, even while this entry accepts no new ones."""
         team = team_of(request, self.configuration.intent)
         if team is None:
             return not_run("bad_key", "the bearer key belongs to no team")
         return team
 
-    def _turned_away(self, request: Any) -> Refusal | None:
+    def _readiness_refusal(self, request: Any) -> Refusal | None:
         if self.draining:
             request.setHeader("connection", "close")
             return not_run("draining", "this entry is stopping", _RETRY_AFTER_MS)
@@ -54,12 +57,14 @@
         return None
 
 
-def check_id(given: str) -> None:
-    """An id becomes part of table keys and log lines, so it is kept plain."""
-    plain = given.isascii() and all(c.isalnum() or c in "-_.:~" for c in given)
-    if not plain or not 0 < len(given) <= _ID_LIMIT:
+def check_id(request_id: str) -> None:
+    """Raise `RequestInvalid` for an id that can't stand in row keys and log lines."""
+    plain = request_id.isascii() and all(
+        c.isalnum() or c in "-_.:~" for c in request_id
+    )
+    if not plain or not 0 < len(request_id) <= _MAX_ID_LENGTH:
         raise RequestInvalid(
             "idempotency-key",
-            f"expected up to {_ID_LIMIT} letters, digits or any of -_.:~, "
-            f"got {given!r:.60}",
+            f"expected up to {_MAX_ID_LENGTH} letters, digits or any of -_.:~, "
+            f"got {request_id!r:.60}",
         )
--- a/src/coursekeel/entry/http/_guarded_connection.py
+++ b/src/coursekeel/entry/http/_guarded_connection.py
@@ -1,15 +1,14 @@
-"""Callers' connections whose bytes leave only while somebody may still say them.
+"""Callers' connections that send bytes only while this entry owns the answer.
 
-Twisted writes into a buffer that the reactor empties when it comes round. A pause of
-the process between the two may last until an answer is another entry's, and what was
-asked before the write is true no more. So the right is asked at the socket, directly
-before the system call that sends.
+Twisted buffers what is written, and the reactor sends it later. If the process is
+paused in between, another entry may have taken the answer over by then. So the right
+to send is checked at the socket, directly before the system call.
 
-Guards against: an owner that was paused and wakes sends what it wrote before the pause
-(5 of 60 plays of `test_a_frozen_owner_…`, ten at once). What is left of the window is
-the span from the look at the clock to the system call, `python -m bench.sending`.
+Guards against an owner that was paused and, when it resumes, sends what it wrote
+before the pause. The remaining window is the time between the check and the system
+call; `python -m bench.sending` measures it.
 
-Owns what of a guarded connection is held back. Relies on `SendingRight`.
+Owns the bytes of a guarded connection that are held back. Relies on `SendingRight`.
 """
 
 import logging
@@ -28,35 +27,35 @@
 class GuardedConnection(Server):
     """The server's end of a connection, which can be guarded by a `SendingRight`.
 
-    While the right has lapsed, bytes wait. Once it is gone for good, what hasn't left
-    by then never does, and the connection ends.
+    While the right has lapsed, bytes stay in the buffer. Once it is gone for good, the
+    unsent bytes are dropped and the connection is aborted.
     """
 
     _right: SendingRight | None = None
     _released = False
-    _holds = False
-    _look: Any = None
+    _is_holding = False
+    _retry_call: Any = None
 
     def guard(self, right: SendingRight | None) -> None:
-        """From now on bytes leave under this right; under none they leave freely."""
+        """From now on send bytes only while ``right`` holds; None removes the guard."""
         self._right = right
         self._released = False
 
     def release(self) -> None:
-        """What was written is the last under its right."""
+        """Remove the guard as soon as all that was written so far is sent."""
         if self._unsent_bytes:
             self._released = True
         else:
             self._right = None
 
     def withdraw(self) -> bool:
-        """The right is gone; say whether the connection can still be spoken on.
+        """Remove the guard of a lost right; returns whether the connection is usable.
 
-        It can't if something of what was written hasn't left: it may end in the midst
-        of an event, so that nothing could follow it.
+        With unsent bytes it can't, since the part that was sent may end in the middle
+        of an event. The connection is then aborted.
         """
         if self._unsent_bytes:
-            self._end_unsent()
+            self._drop_unsent_and_abort()
             return False
         self._right = None
         return True
@@ -66,24 +65,24 @@
         return len(self.dataBuffer) - self.offset + self._tempDataLen
 
     def writeSomeData(self, data: Any) -> Any:
-        """Send what may leave now; Twisted calls this to empty the buffer."""
+        """Send bytes if the right holds; called by Twisted to empty the buffer."""
         right = self._right
         if right is None:
             return super().writeSomeData(data)
         if right.gone:
-            self._end_unsent()
+            self._drop_unsent_and_abort()
             return 0
         if not right.may_send():
             self._hold()
             return 0
-        self._holds = False
+        self._is_holding = False
         sent = super().writeSomeData(data)
         if not right.may_send():
             log_event("sent_past_right", logging.WARNING, bytes=sent)
         return sent
 
     def doWrite(self) -> Any:
-        """Empty the buffer, and let go of a right under which all was said."""
+        """Empty the buffer; remove a released guard once all is sent."""
         result = super().doWrite()
         if self._released and not self._unsent_bytes:
             self._released = False
@@ -91,27 +90,27 @@
         return result
 
     def _hold(self) -> None:
-        """Wait with what is written until the right is there again, or gone."""
+        """Keep the buffer and retry until the right holds again or is gone."""
         self.stopWriting()
-        if not self._holds:
-            self._holds = True
+        if not self._is_holding:
+            self._is_holding = True
             log_event("output_held", bytes=self._unsent_bytes)
-        if self._look is None:
-            self._look = self.reactor.callLater(HELD_LOOK_S, self._look_again)
+        if self._retry_call is None:
+            self._retry_call = self.reactor.callLater(HELD_LOOK_S, self._retry)
 
-    def _look_again(self) -> None:
-        self._look = None
+    def _retry(self) -> None:
+        self._retry_call = None
         self.startWriting()
 
-    def _end_unsent(self) -> None:
+    def _drop_unsent_and_abort(self) -> None:
         log_event("output_dropped", bytes=self._unsent_bytes)
         self.abortConnection()
 
     def connectionLost(self, reason: Any) -> None:
-        """Look no more."""
-        if self._look is not None:
-            self._look.cancel()
-            self._look = None
+        """Cancel the pending retry."""
+        if self._retry_call is not None:
+            self._retry_call.cancel()
+            self._retry_call = None
         super().connectionLost(reason)
 
 
@@ -129,7 +128,7 @@
 
 
 def connection_of(request: Request) -> GuardedConnection:
-    """The connection that a request came on."""
+    """The connection of a request."""
     connection: Any = request.channel.transport
     assert isinstance(connection, GuardedConnection)
     return connection
--- a/src/coursekeel/entry/http/_health.py
+++ b/src/coursekeel/entry/http/_health.py
@@ -1,4 +1,4 @@
-"""What a balancer and a collector of metrics ask of an entry."""
+"""HTTP interface for load balancers and metrics collectors."""
 
 from typing import Any
 
@@ -14,28 +14,28 @@
 
 @define(eq=False)
 class HealthApi:
-    """Says whether the entry lives and may be given callers, and what it counted."""
+    """Serves liveness, readiness and metrics; needs no key."""
 
     gate: Gate
     metrics: Metrics
 
     def routes(self, app: Klein) -> None:
-        """Add the routes that need no key."""
+        """Add the routes."""
         app.route("/healthz")(self.healthz)
         app.route("/readyz")(self.readyz)
         app.route("/metrics")(self.show_metrics)
 
     def healthz(self, request: Any) -> bytes:
-        """The process lives."""
+        """Liveness: 200 whenever the process can answer."""
         return send_json(request, 200, {"healthy": True})
 
     def readyz(self, request: Any) -> bytes:
-        """The balancer's question: may this entry be given callers?"""
+        """Readiness: 200 if the balancer may send callers here, else 503."""
         ready = self.gate.configuration.ready and not self.gate.draining
         return send_json(request, 200 if ready else 503, {"ready": ready})
 
     def show_metrics(self, request: Any) -> bytes:
-        """Everything counted, in the form that the collector asks for."""
+        """All metrics, in the format of the request's Accept header."""
         content, headers = self.metrics.render([request.getHeader("accept") or ""])
         for name, value in headers.items():
             request.setHeader(name, value)
--- a/src/coursekeel/entry/http/_late_stream.py
+++ b/src/coursekeel/entry/http/_lazy_event_stream.py
@@ -1,4 +1,4 @@
-"""An event stream that can still turn into an HTTP error before its first event."""
+"""An event stream that can still answer with an HTTP error before its first event."""
 
 from typing import Any
 
@@ -9,14 +9,13 @@
 from coursekeel.entry.http._common import refuse
 from coursekeel.entry.http._event_sinks import EventStream
 
-__all__ = ["LateStream"]
+__all__ = ["LazyEventStream"]
 
 
-class LateStream(EventStream):
-    """An event stream whose headers go out with its first event.
+class LazyEventStream(EventStream):
+    """An event stream whose headers are sent with its first event.
 
-    Until then a refusal can still be an HTTP error, with its status and when to come
-    back, and not an event in a stream that looked like a success.
+    A refusal before that becomes an HTTP error with its status and Retry-After header.
     """
 
     def __init__(
@@ -31,38 +30,38 @@
         super().__init__(request, request_id, model, chat)
         self._open_streams = open_streams
         self._result = result
-        self._begun = False
+        self._started = False
 
-    def _begin(self) -> None:
-        if self._begun:
+    def _ensure_started(self) -> None:
+        if self._started:
             return
-        self._begun = True
+        self._started = True
         self.open()
         self._open_streams.add(self)
 
     def stored(self) -> None:
-        """Tell that the request will be carried to its end."""
-        self._begin()
+        """Report, once, that the request is stored and will be completed."""
+        self._ensure_started()
         super().stored()
 
     def restart(self, generation: str) -> None:
-        """Tell the caller to drop what it holds."""
-        self._begin()
+        """Tell the caller to drop the tokens it holds: a new generation starts."""
+        self._ensure_started()
         super().restart(generation)
 
     def tokens(self, upto: EventId, tokens: list[int], text: str) -> None:
         """Write tokens as one event."""
-        self._begin()
+        self._ensure_started()
         super().tokens(upto, tokens, text)
 
     def finish(self, reason: str, upto: EventId) -> None:
-        """Write the last event."""
-        self._begin()
+        """Write the last event and end the stream."""
+        self._ensure_started()
         super().finish(reason, upto)
 
     def refuse(self, refusal: Refusal) -> None:
-        """Write the final word, as an HTTP error if nothing was written before."""
-        if self._begun:
+        """Answer with an HTTP error, or an error event if the stream has started."""
+        if self._started:
             super().refuse(refusal)
             return
         self.over = True
@@ -75,7 +74,7 @@
         self._result.callback(b"")
 
     def stopProducing(self) -> None:
-        """The caller is gone."""
+        """The connection was lost."""
         super().stopProducing()
         self._request.unregisterProducer()
         self._open_streams.discard(self)
--- a/src/coursekeel/entry/http/_operator.py
+++ b/src/coursekeel/entry/http/_operator.py
@@ -1,4 +1,4 @@
-"""The operators' interface: plans, confirms, and what the system looks like."""
+"""HTTP interface for operators: plans, their confirmation, and the entry's state."""
 
 from typing import Any
 
@@ -27,13 +27,13 @@
 
 __all__ = ["OperatorApi"]
 
-# An operator whose change met the store's trouble.
+# Sent while the store is unavailable.
 _RETRY_AFTER_MS = 1_000
 
 
 @define(eq=False)
 class OperatorApi:
-    """Checks operators' requests and carries them out."""
+    """Authenticates operators and serves their requests."""
 
     settings: EntrySettings
     configuration: ConfigurationTask
@@ -48,55 +48,57 @@
         app.route("/operator/endpoints", methods=["GET"])(self.endpoints)
         app.route("/operator/status", methods=["GET"])(self.status)
 
-    def _operator(self, request: Any, confirms: bool = False) -> OperatorKey | bytes:
+    def _authenticate(
+        self, request: Any, confirms: bool = False
+    ) -> OperatorKey | bytes:
         operator = operator_of(request, self.settings)
         if operator is None:
             text = "the bearer key belongs to no operator"
             return refuse(request, not_run("bad_key", text))
         if confirms and not operator.may_confirm:
-            text = f"operator {operator.name} may look but not confirm"
+            text = f"operator {operator.name} may read but not confirm"
             return refuse(request, not_run("forbidden", text))
         return operator
 
     async def plan(self, request: Any) -> bytes:
-        """Plan an intent; nothing changes."""
-        operator = self._operator(request)
+        """Make a plan for an intent; the configuration doesn't change."""
+        operator = self._authenticate(request)
         if isinstance(operator, bytes):
             return operator
         try:
-            intent = _intent(request.content.getvalue())
+            intent = _parse_intent(request.content.getvalue())
             plan = await self.configuration.plan(
                 intent, self.overview.known_endpoints, self.overview.running
             )
         except RequestInvalid as fault:
             return refuse(request, not_run("bad_request", str(fault)))
         if isinstance(plan, StoreSilent):
-            return refuse(request, _silent(plan))
+            return refuse(request, _store_refusal(plan))
         return send_json(request, 200, plan.to_json())
 
     async def confirm(self, request: Any, plan_id: str) -> bytes:
-        """Confirm a plan; asking again gives the same answer."""
-        operator = self._operator(request, confirms=True)
+        """Commit a plan; idempotent."""
+        operator = self._authenticate(request, confirms=True)
         if isinstance(operator, bytes):
             return operator
         try:
-            stopped = _known_stopped(request.content.getvalue())
+            stopped = _parse_known_stopped(request.content.getvalue())
         except RequestInvalid as fault:
             return refuse(request, not_run("bad_request", str(fault)))
         outcome = await self.configuration.confirm(plan_id, stopped)
         match outcome:
             case Confirmed():
                 self.rollouts.review_now()
-                return send_json(request, 200, self._state(outcome.revision))
+                return send_json(request, 200, self._rollout_state(outcome.revision))
             case Stale():
-                return self._stale(request, outcome)
+                return self._stale_reply(request, outcome)
             case UnknownPlan():
                 text = f"there is no plan {plan_id!r}; plan again"
                 return refuse(request, not_run("not_found", text))
             case StoreSilent():
-                return refuse(request, _silent(outcome))
+                return refuse(request, _store_refusal(outcome))
 
-    def _stale(self, request: Any, stale: Stale) -> bytes:
+    def _stale_reply(self, request: Any, stale: Stale) -> bytes:
         text = f"revision {stale.in_force} came after the plan was made; plan again"
         body = {
             "error": {"code": "stale_plan", "message": text, "run": "not_run"},
@@ -105,8 +107,8 @@
         }
         return send_json(request, 409, body)
 
-    def _state(self, revision: int) -> dict[str, Any]:
-        """An older revision is in force everywhere once the newest one is."""
+    def _rollout_state(self, revision: int) -> dict[str, Any]:
+        """The rollout state of a revision: accepted once the newest revision is."""
         rollout = self.configuration.rollout_of_current()
         accepted = rollout.state == "accepted"
         return {
@@ -116,8 +118,8 @@
         }
 
     async def show(self, request: Any) -> bytes:
-        """The configuration applied here, and whom the newest one waits for."""
-        operator = self._operator(request)
+        """The configuration applied here, and the entries the newest one waits for."""
+        operator = self._authenticate(request)
         if isinstance(operator, bytes):
             return operator
         await self.rollouts.review_current()
@@ -126,28 +128,28 @@
         body = {
             "applied_revision": current.revision,
             "plan_id": current.plan_id,
-            **self._state(rollout.revision),
+            **self._rollout_state(rollout.revision),
             "intent": intent_to_json(current.intent),
         }
         return send_json(request, 200, body)
 
     async def endpoints(self, request: Any) -> bytes:
-        """Every endpoint of the intent and what is known of it."""
-        operator = self._operator(request)
+        """The state of every endpoint of the intent."""
+        operator = self._authenticate(request)
         if isinstance(operator, bytes):
             return operator
         return send_json(request, 200, {"endpoints": self.overview.endpoints()})
 
     async def status(self, request: Any) -> bytes:
-        """This entry's state."""
-        operator = self._operator(request)
+        """The state of this entry."""
+        operator = self._authenticate(request)
         if isinstance(operator, bytes):
             return operator
         return send_json(request, 200, self.overview.status())
 
 
-def _intent(body: bytes) -> Intent:
-    """An intent may be sent with its comments, as operators keep it in a file."""
+def _parse_intent(body: bytes) -> Intent:
+    """Parse an intent from JSON5, so that operators' files may have comments."""
     try:
         raw = json5.loads(body.decode("utf-8"))
     except ValueError as failure:
@@ -156,7 +158,7 @@
     return intent_from_json(raw)
 
 
-def _known_stopped(body: bytes) -> frozenset[str]:
+def _parse_known_stopped(body: bytes) -> frozenset[str]:
     if not body:
         return frozenset()
     try:
@@ -168,9 +170,9 @@
     return frozenset(names)
 
 
-def _silent(outcome: StoreSilent) -> Refusal:
+def _store_refusal(outcome: StoreSilent) -> Refusal:
     if not outcome.unsure:
-        text = f"the store can't be asked: {outcome.reason}"
+        text = f"the store is unavailable: {outcome.reason}"
         return not_run("store_unavailable", text, _RETRY_AFTER_MS)
     text = (
         "the store didn't say whether the plan took effect; confirm the same plan "
--- a/src/coursekeel/entry/http/_overview.py
+++ b/src/coursekeel/entry/http/_overview.py
@@ -1,4 +1,4 @@
-"""What operators are shown of an entry."""
+"""The state of an entry, as operators see it."""
 
 from collections import Counter
 from typing import Any
@@ -17,13 +17,13 @@
 
 __all__ = ["Overview"]
 
-# Endpoints in trouble that one page names. Chosen to be read by a person.
-_MOST_TROUBLED = 50
+# Limit of the troubled answers listed in one status reply.
+_MAX_TROUBLED = 50
 
 
 @define(eq=False)
 class Overview:
-    """Reads the tasks' states; changes nothing."""
+    """Builds status replies from the tasks' states; read-only."""
 
     settings: EntrySettings
     clock: Clock
@@ -42,19 +42,19 @@
 
     @property
     def running(self) -> dict[str, int]:
-        """How many requests each endpoint runs, by its own last word."""
+        """Number of requests that each endpoint reported last, by endpoint id."""
         return {
             name: facts.running for name, facts in self.endpoints_task.facts.items()
         }
 
     def endpoints(self) -> list[dict[str, Any]]:
-        """Every endpoint of the intent and what is known of it."""
+        """The state of every endpoint of the intent."""
         return [
-            self._endpoint(each.endpoint_id)
+            self._endpoint_state(each.endpoint_id)
             for each in self.configuration.intent.endpoints
         ]
 
-    def _endpoint(self, endpoint_id: str) -> dict[str, Any]:
+    def _endpoint_state(self, endpoint_id: str) -> dict[str, Any]:
         now_ms = self.clock.now_ms()
         task = self.endpoints_task
         load = self.router.load(endpoint_id)
@@ -74,7 +74,7 @@
         }
 
     def status(self) -> dict[str, Any]:
-        """This entry's state, with the answers that are in trouble."""
+        """The state of this entry, with its troubled answers."""
         tasks = list(self.registry.tasks.values())
         now_ms = self.clock.now_ms()
         return {
@@ -88,10 +88,10 @@
             "applied_revision": self.configuration.current.revision,
             "answers": dict(Counter(each.core.state for each in tasks)),
             "troubled": [
-                self._troubled(each)
+                self._troubled_answer(each)
                 for each in tasks
                 if each.core.state in ("recovering", "interrupted", "waiting")
-            ][:_MOST_TROUBLED],
+            ][:_MAX_TROUBLED],
             "waiting_for_endpoints": self.router.waiting,
             "refused": self.router.refused,
             "slow_downs": self.endpoints_task.silence.slow_downs,
@@ -109,7 +109,7 @@
             },
         }
 
-    def _troubled(self, task: Any) -> dict[str, Any]:
+    def _troubled_answer(self, task: Any) -> dict[str, Any]:
         refusal = task.refusal
         return {
             "team": task.request.team.name,
--- a/src/coursekeel/entry/http/_site.py
+++ b/src/coursekeel/entry/http/_site.py
@@ -1,4 +1,4 @@
-"""The HTTP server: bodies in memory, bounded before they are read."""
+"""The HTTP server, with limits on headers, bodies and idle time."""
 
 import math
 from typing import Any
@@ -17,8 +17,8 @@
 class _BoundedRequest(BoundedBody, Request):
     """A request whose body is bounded.
 
-    One over the limit is answered as soon as its length is known, and the connection
-    closed.
+    A larger body is answered with 413 as soon as its length exceeds the limit, and the
+    connection is closed.
     """
 
     limit_bytes = 0
@@ -44,7 +44,7 @@
 
 
 class _BoundedChannel(HTTPChannel):
-    """A channel that takes no more than the configured bytes of headers."""
+    """A channel that limits the bytes of a request's headers."""
 
     header_limit_bytes = 0
 
@@ -54,18 +54,18 @@
 
 
 def bounded_site(resource: Any, settings: EntrySettings) -> Any:
-    """A site whose requests keep to the settings' limits.
+    """Create a Twisted site that enforces the limits of the settings.
 
-    A caller that sends half a request and then falls silent is let go after
-    ``request_idle_ms``; a response under way is not, however long it takes.
+    A connection that stalls in the middle of a request is closed after
+    ``request_idle_ms``; a response in progress isn't, however long it takes.
     """
     limits = settings.limits
-    request = type(
+    request_class = type(
         "BoundedRequest", (_BoundedRequest,), {"limit_bytes": limits.body_bytes}
     )
-    bounds = {"header_limit_bytes": limits.header_bytes}
-    channel = type("BoundedChannel", (_BoundedChannel,), bounds)
+    channel_attributes = {"header_limit_bytes": limits.header_bytes}
+    channel_class = type("BoundedChannel", (_BoundedChannel,), channel_attributes)
     idle_s = math.ceil(settings.timers.request_idle_ms / 1000)
-    site: Any = Site(resource, requestFactory=request, timeout=idle_s)
-    site.protocol = channel
+    site: Any = Site(resource, requestFactory=request_class, timeout=idle_s)
+    site.protocol = channel_class
     return site
