--- a/src/coursekeel/fetch/__init__.py
+++ b/src/coursekeel/fetch/__init__.py
@@ -1,6 +1,6 @@
-"""Whole HTTP requests, sent at most once, whose outcomes are values."""
+"""HTTP requests that are sent at most once and whose failures are values."""
 
-from coursekeel.fetch._agent import DirectAgents, MaySend, RightLapsed
+from coursekeel.fetch._agent import DirectAgents, MaySend, SendWithheld
 from coursekeel.fetch._arrival import Transfer
 from coursekeel.fetch._exchange import (
     Ending,
@@ -32,6 +32,6 @@
     "MaySend",
     "NotReached",
     "OwnLink",
-    "RightLapsed",
+    "SendWithheld",
     "Transfer",
 ]
--- a/src/coursekeel/fetch/_agent.py
+++ b/src/coursekeel/fetch/_agent.py
@@ -1,4 +1,4 @@
-"""Agents that connect straight to an IP number, without resolving names."""
+"""HTTP agents that connect directly to an IP address, without name resolution."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,25 +11,27 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-__all__ = ["DirectAgents", "MaySend", "RightLapsed"]
+__all__ = ["DirectAgents", "MaySend", "SendWithheld"]
 
-# Kept connections to one host, for calls that may be repeated and for the store.
+# Idle persistent connections that are kept per host.
 _CONNECTIONS_PER_HOST = 16
 
 
 MaySend = Callable[[], bool]
 
 
-class RightLapsed(ConnectError):
-    """A request wasn't sent, since it might no longer be."""
+class SendWithheld(ConnectError):
+    """The request wasn't sent: ``may_send`` returned false once it was connected."""
 
     MESSAGE = "the right to send had lapsed"
 
 
 @implementer(IAgentEndpointFactory)
 class _DirectEndpoints:
-    """Twisted's own factory races a host's addresses, and takes 300 ms to see that a
-    single one refused. Addresses here are IP numbers, and a refusal is news of a death.
+    """Creates TCP endpoints that report a refused connection at once.
+
+    Twisted's default factory races the addresses of a host and takes 300 ms to report
+    that a single address refused. All addresses here are IP addresses.
     """
 
     def __init__(self, reactor: Any, timeout_s: float) -> None:
@@ -38,48 +40,49 @@
 
     def endpointForURI(self, uri: Any) -> Any:
         host = uri.host.decode("ascii").strip("[]")
-        kind: Any = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
-        return kind(self._reactor, host, uri.port, timeout=self._timeout_s)
+        endpoint_class: Any = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
+        return endpoint_class(self._reactor, host, uri.port, timeout=self._timeout_s)
 
 
 @implementer(IStreamClientEndpoint)
 @define
-class _AskingEndpoint:
-    """Asks, once its connection stands, whether the request may still be sent.
+class _CheckedEndpoint:
+    """Checks once more after connecting whether the request may still be sent.
 
-    Connecting takes time, and a pause of this process may lie in it. Guards against:
-    an instance that was frozen there sends what it asked leave for before.
+    Guards against: the process is paused while it connects, and then sends a request
+    whose permission has expired.
     """
 
     endpoint: Any
     may_send: MaySend
 
     def connect(self, factory: Any) -> Any:
-        return self.endpoint.connect(factory).addCallback(self._ask)
+        return self.endpoint.connect(factory).addCallback(self._check)
 
-    def _ask(self, protocol: Any) -> Any:
+    def _check(self, protocol: Any) -> Any:
         if self.may_send():
             return protocol
         protocol.transport.abortConnection()
-        raise RightLapsed
+        raise SendWithheld
 
 
 @implementer(IAgentEndpointFactory)
 @define
-class _AskingEndpoints:
+class _CheckedEndpoints:
     endpoints: Any
     may_send: MaySend
 
     def endpointForURI(self, uri: Any) -> Any:
-        return _AskingEndpoint(self.endpoints.endpointForURI(uri), self.may_send)
+        return _CheckedEndpoint(self.endpoints.endpointForURI(uri), self.may_send)
 
 
 @define(eq=False)
 class DirectAgents:
-    """Agents that send each request once, whatever becomes of it.
+    """Creates Twisted agents that never retry a request.
 
-    Without kept connections, a server that just hung up can't be mistaken for one
-    that took the request and then died.
+    Without persistent connections (``keeps_connections``), a server that closed an idle
+    connection can't be mistaken for one that accepted the request and then crashed.
+    ``connect_ms`` limits the time to connect.
     """
 
     reactor: Any
@@ -95,11 +98,12 @@
         self._endpoints = _DirectEndpoints(self.reactor, self.connect_ms / 1000)
 
     def agent(self, may_send: MaySend | None = None) -> Any:
-        """An agent; with ``may_send`` for one request, which is asked for leave again.
+        """Return an agent; with ``may_send``, one for a single request.
 
-        A request that isn't sent for want of it fails with `RightLapsed`.
+        ``may_send`` is called once connected; if it returns false, the request isn't
+        sent and fails with `SendWithheld`.
         """
         endpoints = self._endpoints
         if may_send is not None:
-            endpoints = _AskingEndpoints(endpoints, may_send)
+            endpoints = _CheckedEndpoints(endpoints, may_send)
         return Agent.usingEndpointFactory(self.reactor, endpoints, pool=self._pool)
--- a/src/coursekeel/fetch/_arrival.py
+++ b/src/coursekeel/fetch/_arrival.py
@@ -1,14 +1,14 @@
-"""How an answer comes in: its body's pieces, and the limits on waiting for them.
+"""Timeouts and size limits of HTTP responses, and the collection of their bodies.
 
-Rule: what is bounded is silence, not length. A limit on the whole of an answer cuts one
-that is on its way whenever it is longer than the link carries in that time, and asking
-again can't help. So an answer must begin in time; from then on the pauses between its
-pieces are bounded, and, far above what any sound answer needs, its time and its size.
+Rule: the pauses are limited rather than the length. A short limit on the whole response
+would cut each one that is too long for the link, and a retry can't help. So the head
+must arrive in time; after it, the pauses between two chunks are limited, and, with
+generous limits, the time and the size of the whole.
 
-Rule: what is given up is closed. An answer that nobody waits for would go on taking the
-link from the one that is asked for next.
+Rule: the connection of a cancelled request is closed, so that its response doesn't use
+bandwidth that the next request needs.
 
-Owns the pieces and the timer of one call. Relies on Twisted's HTTP client for both.
+Owns the received chunks and the timer of one request. Relies on Twisted's HTTP client.
 """
 
 from typing import Any, cast
@@ -22,15 +22,15 @@
 from coursekeel.fetch._own_link import OwnLink
 from coursekeel.reactor import Reactor
 
-__all__ = ["AnswerArrival", "ArrivingBody", "Transfer"]
+__all__ = ["BodyCollector", "ResponseWatchdog", "Transfer"]
 
 
 @frozen
 class Transfer:
-    """How an answer that has begun may come.
+    """Limits on a response whose head has arrived.
 
-    ``pause_ms`` bounds the time between two of its pieces, ``most_ms`` the time from
-    its head to its end, and ``most_bytes`` its body.
+    ``pause_ms`` limits the time between two chunks, ``most_ms`` the time from the head
+    to the end, and ``most_bytes`` the size of the body.
     """
 
     pause_ms: float
@@ -39,11 +39,12 @@
 
 
 @define(eq=False)
-class AnswerArrival:
-    """Cancels a call whose answer doesn't come in time, and keeps why.
+class ResponseWatchdog:
+    """Cancels a request whose response exceeds a limit, and records the reason.
 
-    Without a ``transfer`` the whole answer must be here within ``timeout_ms``; with
-    one, its head.
+    Without a ``transfer``, the whole response must arrive within ``timeout_ms``; with
+    one, only its head. ``link`` is notified of each chunk; ``received_bytes`` counts
+    the body; ``cancel_reason`` is empty unless the request was cancelled.
     """
 
     reactor: Reactor
@@ -51,78 +52,82 @@
     transfer: Transfer | None
     link: OwnLink | None = None
     received_bytes: int = 0
-    given_up: str = ""
-    _call: Any = None
+    cancel_reason: str = ""
+    _request: Any = None
     _timer: Any = None
     _end_s: float = field(default=0.0, init=False)
 
-    def watch(self, call: Deferred[Any]) -> None:
-        """Begin to wait for a call's answer."""
-        self._call = call
-        self._wait(self.timeout_ms, f"no answer within {self.timeout_ms:.0f} ms")
+    def watch(self, request: Deferred[Any]) -> None:
+        """Start the timer of a request, given the Deferred of its response."""
+        self._request = request
+        self._start_timer(self.timeout_ms, f"no answer within {self.timeout_ms:.0f} ms")
 
-    def begun(self) -> None:
-        """The answer's head is here."""
+    def head_received(self) -> None:
+        """The head of the response arrived."""
         if self.transfer is not None:
             self._end_s = self.reactor.seconds() + self.transfer.most_ms / 1000
-            self._wait_for_piece(self.transfer)
+            self._wait_for_chunk(self.transfer)
 
-    def came(self, size_bytes: int) -> None:
-        """A piece of the body is here."""
+    def chunk_received(self, size_bytes: int) -> None:
+        """A chunk of the body arrived."""
         self.received_bytes += size_bytes
         if self.link is not None:
-            self.link.came(self.received_bytes)
-        if self.transfer is None or self.given_up:
+            self.link.chunk_received(self.received_bytes)
+        if self.transfer is None or self.cancel_reason:
             return
         if self.received_bytes > self.transfer.most_bytes:
-            self._give_up(f"more than {self.transfer.most_bytes} bytes")
+            self._cancel(f"more than {self.transfer.most_bytes} bytes")
             return
-        self._wait_for_piece(self.transfer)
+        self._wait_for_chunk(self.transfer)
 
-    def over(self) -> None:
-        """The call has ended, in whatever way."""
+    def stop(self) -> None:
+        """Stop the timer: the request has ended, successfully or not."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def _wait_for_piece(self, transfer: Transfer) -> None:
-        left_ms = (self._end_s - self.reactor.seconds()) * 1000
-        if left_ms < transfer.pause_ms:
-            self._wait(max(0.0, left_ms), f"not whole within {transfer.most_ms:.0f} ms")
+    def _wait_for_chunk(self, transfer: Transfer) -> None:
+        remaining_ms = (self._end_s - self.reactor.seconds()) * 1000
+        if remaining_ms < transfer.pause_ms:
+            self._start_timer(
+                max(0.0, remaining_ms), f"not whole within {transfer.most_ms:.0f} ms"
+            )
         else:
-            self._wait(transfer.pause_ms, f"silent for {transfer.pause_ms:.0f} ms")
+            self._start_timer(
+                transfer.pause_ms, f"silent for {transfer.pause_ms:.0f} ms"
+            )
 
-    def _wait(self, wait_ms: float, reason: str) -> None:
-        self.over()
-        self._timer = self.reactor.callLater(wait_ms / 1000, self._give_up, reason)
+    def _start_timer(self, wait_ms: float, reason: str) -> None:
+        self.stop()
+        self._timer = self.reactor.callLater(wait_ms / 1000, self._cancel, reason)
 
-    def _give_up(self, reason: str) -> None:
-        self.given_up = reason
-        self._call.cancel()
+    def _cancel(self, reason: str) -> None:
+        self.cancel_reason = reason
+        self._request.cancel()
 
 
-class ArrivingBody(Protocol):
-    """Gathers the body of an answer.
+class BodyCollector(Protocol):
+    """Collects the body of a response.
 
-    ``whole`` gives it once it has ended; cancelling that closes the connection.
+    ``body`` fires with it at the end; cancelling ``body`` closes the connection.
     """
 
-    def __init__(self, arrival: AnswerArrival) -> None:
-        self.whole: Deferred[bytes] = Deferred(self._let_go)
-        self._arrival = arrival
-        self._pieces: list[bytes] = []
+    def __init__(self, watchdog: ResponseWatchdog) -> None:
+        self.body: Deferred[bytes] = Deferred(self._close)
+        self._watchdog = watchdog
+        self._chunks: list[bytes] = []
 
     def dataReceived(self, data: bytes) -> None:
-        self._pieces.append(data)
-        self._arrival.came(len(data))
+        self._chunks.append(data)
+        self._watchdog.chunk_received(len(data))
 
     def connectionLost(self, reason: Any = connectionDone) -> None:
-        if self.whole.called:
+        if self.body.called:
             return
         if reason.check(ResponseDone, PotentialDataLoss):
-            self.whole.callback(b"".join(self._pieces))
+            self.body.callback(b"".join(self._chunks))
         else:
-            self.whole.errback(reason)
+            self.body.errback(reason)
 
-    def _let_go(self, _whole: Deferred[bytes]) -> None:
+    def _close(self, _body: Deferred[bytes]) -> None:
         if self.transport is not None:
             cast(Any, self.transport).loseConnection()
--- a/src/coursekeel/fetch/_exchange.py
+++ b/src/coursekeel/fetch/_exchange.py
@@ -1,8 +1,8 @@
-"""One HTTP request on a connection of its own, whose answer is read as it comes.
+"""One HTTP request on a connection of its own, whose response is streamed.
 
-What may not be sent twice needs to know how far it got: a request is not sent, or it
-may have run. A connection that carries one request can't have been closed by an
-earlier one's end, and no earlier answer can come in the place of its own.
+Requests that may not be sent twice need to distinguish "not sent" from "may have run".
+A new connection per request makes that certain: it can't be closed by the end of an
+earlier request, and can't deliver the response to one.
 """
 
 from collections.abc import Callable, Sequence
@@ -28,7 +28,8 @@
 class Ending(Enum):
     """How an exchange ended.
 
-    ``WITHHELD``: it might no longer be sent when its connection stood, and wasn't.
+    ``WITHHELD``: ``may_send`` returned false once connected, so nothing was sent.
+    ``NO_ANSWER``: sent, but no response head arrived. ``CUT``: the body is incomplete.
     """
 
     WHOLE = "whole"
@@ -40,10 +41,10 @@
 
 @frozen
 class ExchangeRequest:
-    """What is sent, byte for byte.
+    """The request, as it is sent.
 
-    ``headers`` gives no hop-by-hop header. It is called once the connection stands,
-    since headers may tell the time that is left.
+    ``headers`` is called once connected, since a header may hold the remaining time; it
+    must return no hop-by-hop headers.
     """
 
     host: str
@@ -56,37 +57,37 @@
 
 @frozen
 class ExchangeHead:
-    """Status and headers of an answer; header names are lower case."""
+    """Status and headers of a response; header names are lower case."""
 
     status: int
     headers: Sequence[tuple[bytes, bytes]]
 
     def get(self, name: bytes) -> bytes:
-        """The first value of a header, empty if there is none."""
+        """Return the first value of a header, empty if there is none."""
         lowered = name.lower()
         return next((value for key, value in self.headers if key == lowered), b"")
 
 
 class ExchangeSink:
-    """Who is told of an exchange: one head at most, its data, and one end."""
+    """Receives the events of an exchange: at most one head, data, and one end."""
 
     def may_send(self) -> bool:
-        """Say whether the request may still be sent, now that its connection stands."""
+        """Return whether the request may still be sent; called once connected."""
         return True
 
     def head_arrived(self, head: ExchangeHead) -> None:
-        """The answer's status and headers are in."""
+        """The status and headers of the response arrived."""
 
     def data_arrived(self, data: bytes) -> None:
-        """A part of the answer's body is in."""
+        """A chunk of the body arrived."""
 
     def ended(self, ending: Ending, reason: str) -> None:
-        """Nothing more comes."""
+        """The exchange ended; this is the last event."""
 
 
 @implementer(IBodyProducer)
 class _WholeBody:
-    """Writes the whole body at once: it is in memory already."""
+    """Writes a body that is already in memory, in one piece."""
 
     def __init__(self, body: bytes) -> None:
         self._body = body
@@ -107,10 +108,10 @@
 
 
 class _Connection(HTTP11ClientProtocol):
-    """Twisted's client protocol, which also keeps why its connection was lost.
+    """Twisted's client protocol, which also records whether it was closed cleanly.
 
-    An answer without a length ends with its connection, and Twisted reports a reset
-    there like a close.
+    A response without a length ends when its connection closes, and Twisted reports a
+    reset in the same way as a clean close.
     """
 
     lost_cleanly = False
@@ -133,7 +134,7 @@
 
 @define(eq=False)
 class Exchange:
-    """Sends one request and tells its sink what comes of it; `abort` ends it."""
+    """Sends one request and reports its events to a sink; `abort` cancels it."""
 
     reactor: Reactor
     request: ExchangeRequest
@@ -141,21 +142,21 @@
     connect_ms: float
     _connecting: Any = None
     _connection: _Connection | None = None
-    _over: bool = False
+    _finished: bool = False
 
     def start(self) -> None:
-        """Connect, send, and read."""
+        """Connect, send the request and stream the response to the sink."""
         request = self.request
         endpoint = TCP4ClientEndpoint(
             self.reactor, request.host, request.port, timeout=self.connect_ms / 1000
         )
         factory: Any = Factory.forProtocol(_Connection)
         self._connecting = endpoint.connect(factory)
-        self._connecting.addCallbacks(self._connected, self._not_connected)
+        self._connecting.addCallbacks(self._connected, self._connect_failed)
 
     def abort(self) -> None:
-        """Let go of the request at once; the sink hears nothing more."""
-        self._over = True
+        """Close the connection at once; the sink receives no further events."""
+        self._finished = True
         self._close()
 
     def _close(self) -> None:
@@ -168,7 +169,7 @@
 
     def _connected(self, connection: _Connection) -> None:
         self._connection = connection
-        if self._over:
+        if self._finished:
             self.abort()
             return
         if not self.sink.may_send():
@@ -183,25 +184,25 @@
         sent = connection.request(
             Request(request.method, request.target, headers, body, persistent=False)
         )
-        sent.addCallbacks(self._answered, self._unanswered)
+        sent.addCallbacks(self._head_received, self._request_failed)
 
     def _withhold(self) -> None:
-        """Connecting took time, and a pause of this process may lie in it.
+        """Close the connection without sending the request.
 
-        Guards against: a process that was frozen there sends what it asked leave for
-        before, for a caller whose time is over or to an endpoint that has left.
+        Guards against: the process is paused while it connects, and then sends a
+        request whose caller has timed out or whose endpoint has left.
         """
         self._close()
         self._end(Ending.WITHHELD, "right_lapsed")
 
-    def _not_connected(self, failure: Any) -> None:
+    def _connect_failed(self, failure: Any) -> None:
         self._end(Ending.NOT_SENT, failure.getErrorMessage() or failure.type.__name__)
 
-    def _unanswered(self, failure: Any) -> None:
+    def _request_failed(self, failure: Any) -> None:
         self._end(Ending.NO_ANSWER, failure.type.__name__)
 
-    def _answered(self, response: Any) -> None:
-        if self._over:
+    def _head_received(self, response: Any) -> None:
+        if self._finished:
             return
         pairs = [
             (name.lower(), value)
@@ -209,16 +210,16 @@
             for value in values
         ]
         self.sink.head_arrived(ExchangeHead(response.code, pairs))
-        if not self._over:
+        if not self._finished:
             response.deliverBody(_BodyReceiver(self))
 
     def body_data(self, data: bytes) -> None:
-        """A part of the body came."""
-        if not self._over:
+        """A chunk of the body arrived; called by `_BodyReceiver`."""
+        if not self._finished:
             self.sink.data_arrived(data)
 
     def body_ended(self, reason: Any) -> None:
-        """The body ended; without a length it is whole only if closed cleanly."""
+        """The body ended; one without a length is complete only if closed cleanly."""
         if reason is not None and reason.check(ResponseDone):
             self._end(Ending.WHOLE, "")
         elif reason is not None and reason.check(PotentialDataLoss):
@@ -229,6 +230,6 @@
             self._end(Ending.CUT, reason.type.__name__ if reason else "")
 
     def _end(self, ending: Ending, reason: str) -> None:
-        if not self._over:
-            self._over = True
+        if not self._finished:
+            self._finished = True
             self.sink.ended(ending, reason)
--- a/src/coursekeel/fetch/_fetch.py
+++ b/src/coursekeel/fetch/_fetch.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange through `treq`, within the limits that `AnswerArrival` keeps."""
+"""HTTP requests through `treq`, with the limits that `ResponseWatchdog` enforces."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectError
 
 from coursekeel.fetch._agent import DirectAgents, MaySend
-from coursekeel.fetch._arrival import AnswerArrival, ArrivingBody, Transfer
+from coursekeel.fetch._arrival import BodyCollector, ResponseWatchdog, Transfer
 from coursekeel.fetch._own_link import OwnLink
 from coursekeel.reactor import Reactor
 
@@ -18,7 +18,7 @@
 
 @frozen
 class HttpReply:
-    """The whole answer; the names of its ``headers`` are lower case."""
+    """A complete response; the names in ``headers`` are lower case."""
 
     status: int
     content_type: str
@@ -28,7 +28,7 @@
 
 @frozen
 class NotReached:
-    """No connection was made, so the request surely had no effect."""
+    """The request wasn't sent, so it had no effect."""
 
     reason: str
     received_bytes: int = field(default=0, init=False)
@@ -36,10 +36,10 @@
 
 @frozen
 class AnswerLost:
-    """The request may have had its effect; its answer didn't come, or not in time.
+    """The request may have taken effect, but no complete response arrived in time.
 
-    ``received_bytes`` of the answer's body came before it was given up: an answer that
-    was on its way is another fault than one that never came.
+    ``received_bytes`` of the body had arrived; callers tell a slow response from a
+    missing one by it.
     """
 
     reason: str
@@ -51,10 +51,11 @@
 
 @define(eq=False)
 class Fetcher:
-    """Sends requests; never twice, whatever the method. See `DirectAgents`.
+    """Sends HTTP requests and never retries one, whatever its method.
 
-    If answers may be long, ``transfer`` says how one that has begun may come, and
-    ``link`` is told of them.
+    ``connect_ms`` and ``keeps_connections`` are those of `DirectAgents`. For long
+    responses, ``transfer`` limits one whose head has arrived, and ``link`` is notified
+    of its chunks.
     """
 
     reactor: Reactor
@@ -80,26 +81,26 @@
         headers: Mapping[str, str] | None = None,
         may_send: MaySend | None = None,
     ) -> FetchOutcome:
-        """Send one request and read its whole answer.
+        """Send one request and read its whole response.
 
-        It must be here within ``timeout_ms``; if there is a `transfer`, it must begin
-        within that time, and come as that says. ``may_send`` is asked again once a
-        connection has been made; if it says no, nothing was reached.
+        The response must be complete within ``timeout_ms``; with a `transfer`, only its
+        head must arrive in that time. ``may_send`` is called once connected; if it
+        returns false, nothing is sent and the outcome is `NotReached`.
         """
-        arrival = AnswerArrival(self.reactor, timeout_ms, self.transfer, self.link)
-        exchange: Deferred[HttpReply] = ensureDeferred(
-            self._exchange(method, url, data, headers, arrival, may_send)
+        watchdog = ResponseWatchdog(self.reactor, timeout_ms, self.transfer, self.link)
+        response: Deferred[HttpReply] = ensureDeferred(
+            self._exchange(method, url, data, headers, watchdog, may_send)
         )
-        arrival.watch(exchange)
+        watchdog.watch(response)
         try:
-            return await exchange
+            return await response
         except ConnectError as failure:
             return NotReached(str(failure))
-        except Exception as failure:  # every other loss leaves the effect open
-            reason = arrival.given_up or f"{type(failure).__name__}: {failure}"
-            return AnswerLost(reason, arrival.received_bytes)
+        except Exception as failure:  # the request may have taken effect
+            reason = watchdog.cancel_reason or f"{type(failure).__name__}: {failure}"
+            return AnswerLost(reason, watchdog.received_bytes)
         finally:
-            arrival.over()
+            watchdog.stop()
 
     async def _exchange(
         self,
@@ -107,7 +108,7 @@
         url: str,
         data: bytes | None,
         headers: Mapping[str, str] | None,
-        arrival: AnswerArrival,
+        watchdog: ResponseWatchdog,
         may_send: MaySend | None,
     ) -> HttpReply:
         client = self._client
@@ -116,12 +117,12 @@
         response = await client.request(
             method, url, data=data, headers=headers, allow_redirects=False
         )
-        arrival.begun()
-        body = ArrivingBody(arrival)
-        response.deliverBody(body)
+        watchdog.head_received()
+        collector = BodyCollector(watchdog)
+        response.deliverBody(collector)
         headers = {
             name.decode("latin-1").lower(): values[-1].decode("latin-1")
             for name, values in response.headers.getAllRawHeaders()
         }
-        kind = headers.get("content-type", "")
-        return HttpReply(response.code, kind, await body.whole, headers)
+        content_type = headers.get("content-type", "")
+        return HttpReply(response.code, content_type, await collector.body, headers)
--- a/tests/cover/test_fetch.py
+++ b/tests/cover/test_fetch.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP while their answers come slowly, on a transport in memory."""
+"""HTTP requests with slow responses, on a transport in memory."""
 
 import gzip
 from types import SimpleNamespace
@@ -14,15 +14,15 @@
 TRANSFER = Transfer(pause_ms=1_000, most_ms=20_000, most_bytes=100)
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n"
 BODY = bytes(range(50))
-PACKED = gzip.compress(BODY)
-COMPRESSED = (
+COMPRESSED_BODY = gzip.compress(BODY)
+COMPRESSED_RESPONSE = (
     b"HTTP/1.1 200 OK\r\ncontent-encoding: gzip\r\n"
-    b"content-length: %d\r\n\r\n" % len(PACKED) + PACKED
+    b"content-length: %d\r\n\r\n" % len(COMPRESSED_BODY) + COMPRESSED_BODY
 )
 
 
-def asked(call, reactor):
-    """What a call gave, and the server's side of its connection."""
+def start_request(call, reactor):
+    """Start a request; returns its outcomes and the server's side of its connection."""
     outcomes = []
     ensureDeferred(call).addCallback(outcomes.append)
     factory = reactor.tcpClients[-1][2]
@@ -41,10 +41,12 @@
 
 
 @pytest.mark.parametrize("transfer", [None, TRANSFER])
-def test_an_answer_that_keeps_coming_is_whole_if_it_may_be_long(transfer):
+def test_with_a_transfer_a_slow_response_is_read_whole(transfer):
     reactor = MemoryReactorClock()
     fetcher = Fetcher(reactor, 250, transfer=transfer)
-    server = asked(fetcher.ask("GET", "http://127.0.0.1:1/", TIMEOUT_MS), reactor)
+    server = start_request(
+        fetcher.ask("GET", "http://127.0.0.1:1/", TIMEOUT_MS), reactor
+    )
     send_slowly(server, reactor)
     whole = HttpReply(200, "", b"xxxxx")
     assert server.outcomes == [
@@ -53,10 +55,12 @@
 
 
 @pytest.mark.parametrize("transfer", [None, TRANSFER])
-def test_the_connection_of_one_that_is_given_up_is_closed(transfer):
+def test_the_connection_of_a_cancelled_request_is_closed(transfer):
     reactor = MemoryReactorClock()
     fetcher = Fetcher(reactor, 250, transfer=transfer)
-    server = asked(fetcher.ask("GET", "http://127.0.0.1:1/", TIMEOUT_MS), reactor)
+    server = start_request(
+        fetcher.ask("GET", "http://127.0.0.1:1/", TIMEOUT_MS), reactor
+    )
     send_slowly(server, reactor, pieces=1)
     assert not server.outcomes
     reactor.advance(1.1)
@@ -65,37 +69,41 @@
     assert server.transport.disconnecting
 
 
-def test_a_compressed_answer_that_is_given_up_is_closed_too():
+def test_the_connection_of_a_cancelled_compressed_response_is_closed():
     reactor = MemoryReactorClock()
     fetcher = Fetcher(reactor, 250, transfer=TRANSFER)
-    server = asked(fetcher.ask("GET", "http://127.0.0.1:1/", TIMEOUT_MS), reactor)
-    server.send(COMPRESSED[:-10])
+    server = start_request(
+        fetcher.ask("GET", "http://127.0.0.1:1/", TIMEOUT_MS), reactor
+    )
+    server.send(COMPRESSED_RESPONSE[:-10])
     reactor.advance(1.1)
     assert isinstance(server.outcomes[0], AnswerLost)
     assert server.transport.disconnecting
 
 
-def test_a_compressed_answer_is_given_as_it_was():
+def test_a_compressed_response_is_decompressed():
     reactor = MemoryReactorClock()
     fetcher = Fetcher(reactor, 250, transfer=TRANSFER)
-    server = asked(fetcher.ask("GET", "http://127.0.0.1:1/", TIMEOUT_MS), reactor)
-    server.send(COMPRESSED)
+    server = start_request(
+        fetcher.ask("GET", "http://127.0.0.1:1/", TIMEOUT_MS), reactor
+    )
+    server.send(COMPRESSED_RESPONSE)
     assert server.outcomes == [HttpReply(200, "", BODY)]
 
 
-def test_a_large_object_is_read_however_long_it_comes():
-    """An answer was adopted only if its prompt came within the limit on a call, and
-    waited for ever if the link was too thin for that."""
+def test_a_large_object_may_take_longer_than_the_timeout():
+    """Guards against: an answer whose prompt is too long for the link within the
+    timeout is never adopted."""
     reactor = MemoryReactorClock()
     platform = HttpPlatform(reactor, "http://127.0.0.1:1", TIMEOUT_MS)
-    server = asked(platform.get_object("prompt"), reactor)
+    server = start_request(platform.get_object("prompt"), reactor)
     send_slowly(server, reactor)
     assert server.outcomes == [Fetched(b"xxxxx")]
 
 
-def test_an_object_that_does_not_begin_to_come_is_unavailable():
+def test_an_object_that_does_not_start_to_arrive_is_unavailable():
     reactor = MemoryReactorClock()
     platform = HttpPlatform(reactor, "http://127.0.0.1:1", TIMEOUT_MS)
-    server = asked(platform.get_object("prompt"), reactor)
+    server = start_request(platform.get_object("prompt"), reactor)
     reactor.advance(1.1)
     assert isinstance(server.outcomes[0], Unavailable)
