--- a/src/coursekeel/__init__.py
+++ b/src/coursekeel/__init__.py
@@ -1,4 +1,4 @@
-"""Coursekeel serves long generations on model endpoints that fail."""
+"""Coursekeel, a serving system for long generations on model endpoints that fail."""
 
 __all__ = ["__version__"]
 
--- a/src/coursekeel/charts/__init__.py
+++ b/src/coursekeel/charts/__init__.py
@@ -1,4 +1,4 @@
-"""State charts kept as data, checked at start and built into `automat` machines."""
+"""State charts as JSON, checked when loaded and built into `automat` machines."""
 
 from coursekeel.charts._chart import Chart, Machine, load_chart, parse_chart
 
--- a/src/coursekeel/charts/_chart.py
+++ b/src/coursekeel/charts/_chart.py
@@ -1,8 +1,8 @@
-"""Read a state chart, check that it is complete, and build its machine.
+"""Parse a state chart, check that it is complete, and build its state machine.
 
-A chart names, for each state, the inputs it takes and the state each leads to.
-Every input is either taken by a state or listed under that state's ``impossible``,
-so that a forgotten case is found at start and not in service.
+A chart lists the inputs that each state accepts and the state each one leads to. For
+each state, every input must be either accepted or listed under ``impossible``, so that
+a missing case is found when the chart is loaded.
 """
 
 import json
@@ -33,48 +33,48 @@
         return Machine(self)
 
 
-class _Position:
-    """Where one machine stands; `automat` hands it to each transition."""
+class _CurrentState:
+    """The current state of one machine; `automat` passes it to each transition."""
 
     def __init__(self, state: str) -> None:
         self.state = state
 
 
 class Machine:
-    """One item's life, driven by the inputs its chart names."""
+    """A state machine with the states and inputs of its chart."""
 
     def __init__(self, chart: Chart) -> None:
         self._chart = chart
-        self._position = _Position(chart.initial)
-        self._inputs = _machine_factory(chart.name, _freeze(chart))(self._position)
+        self._current = _CurrentState(chart.initial)
+        self._inputs = _machine_factory(chart.name, _to_hashable(chart))(self._current)
 
     @property
     def state(self) -> str:
-        """The name of the present state."""
-        return self._position.state
+        """The name of the current state."""
+        return self._current.state
 
     def takes(self, name: str) -> bool:
-        """Say whether the present state has a transition for this input."""
+        """Return whether the current state accepts this input."""
         return name in self._chart.transitions[self.state]
 
     def feed(self, name: str) -> str:
-        """Take one input and return the state it leads to.
+        """Process one input and return the state it leads to.
 
-        An input the chart calls impossible here is a broken invariant.
+        Raises `InvariantBroken` if the current state doesn't accept the input.
         """
         if not self.takes(name):
             raise InvariantBroken(
-                f"chart {self._chart.name!r}: input {name!r} came in state "
-                f"{self.state!r}, which the chart calls impossible"
+                f"chart {self._chart.name!r}: input {name!r} arrived in state "
+                f"{self.state!r}, which doesn't accept it"
             )
         getattr(self._inputs, name)()
         return self.state
 
 
-_Frozen = tuple[str, tuple[str, ...], tuple[tuple[str, str, str], ...]]
+_HashableChart = tuple[str, tuple[str, ...], tuple[tuple[str, str, str], ...]]
 
 
-def _freeze(chart: Chart) -> _Frozen:
+def _to_hashable(chart: Chart) -> _HashableChart:
     rows = tuple(
         (state, name, target)
         for state, row in chart.transitions.items()
@@ -84,19 +84,21 @@
 
 
 @cache
-def _machine_factory(name: str, frozen_chart: _Frozen) -> Callable[[_Position], Any]:
-    """Build the `automat` machine once for each chart; items share it."""
-    initial, inputs, rows = frozen_chart
-    methods = {each: _input_method(each) for each in inputs}
+def _machine_factory(
+    name: str, hashable: _HashableChart
+) -> Callable[[_CurrentState], Any]:
+    """Build the `automat` machine of a chart; all machines of one chart share it."""
+    initial, inputs, rows = hashable
+    methods = {input_name: _input_method(input_name) for input_name in inputs}
     protocol: Any = type(f"{name}_inputs", (Protocol,), methods)
-    builder: Any = TypeMachineBuilder(protocol, _Position)
-    names = dict.fromkeys([initial, *(row[0] for row in rows)])
-    names.update(dict.fromkeys(row[2] for row in rows))
-    states = {each: builder.state(each) for each in names}
-    for state, each, target in rows:
-        mark = _enter(target)
-        states[state].upon(methods[each]).to(states[target])(mark)
-    machine: Callable[[_Position], Any] = builder.build()
+    builder: Any = TypeMachineBuilder(protocol, _CurrentState)
+    state_names = dict.fromkeys([initial, *(row[0] for row in rows)])
+    state_names.update(dict.fromkeys(row[2] for row in rows))
+    states = {state_name: builder.state(state_name) for state_name in state_names}
+    for state, input_name, target in rows:
+        set_state = _enter_state(target)
+        states[state].upon(methods[input_name]).to(states[target])(set_state)
+    machine: Callable[[_CurrentState], Any] = builder.build()
     return machine
 
 
@@ -108,18 +110,20 @@
     return method
 
 
-def _enter(target: str) -> Callable[[Any, _Position], None]:
-    def enter(_inputs: Any, position: _Position) -> None:
-        position.state = target
+def _enter_state(target: str) -> Callable[[Any, _CurrentState], None]:
+    def enter(_inputs: Any, current: _CurrentState) -> None:
+        current.state = target
 
     return enter
 
 
 def parse_chart(text: str) -> Chart:
-    """Read a chart from JSON and check it; raises `ChartError` with every fault."""
+    """Parse and check a chart in JSON; raises `ChartError` with all faults."""
     raw = json.loads(text)
     name, initial, states = raw["name"], raw["initial"], raw["states"]
-    inputs = sorted({each for row in states.values() for each in row.get("on", {})})
+    inputs = sorted(
+        {input_name for row in states.values() for input_name in row.get("on", {})}
+    )
     faults = [
         *_unknown_targets(states),
         *_unhandled(states, inputs),
@@ -143,29 +147,29 @@
 def _unhandled(states: dict[str, Any], inputs: list[str]) -> list[str]:
     faults = []
     for state, row in states.items():
-        known = set(row.get("on", {})) | set(row.get("impossible", []))
+        handled = set(row.get("on", {})) | set(row.get("impossible", []))
         faults += [
             f"{state} neither takes {name!r} nor calls it impossible"
             for name in inputs
-            if name not in known
+            if name not in handled
         ]
     return faults
 
 
 def _unreachable(initial: str, states: dict[str, Any]) -> list[str]:
     reached: set[str] = set()
-    waiting = [initial]
-    while waiting:
-        state = waiting.pop()
+    to_visit = [initial]
+    while to_visit:
+        state = to_visit.pop()
         if state in reached or state not in states:
             continue
         reached.add(state)
-        waiting += states[state].get("on", {}).values()
+        to_visit += states[state].get("on", {}).values()
     return [f"{state} can't be reached" for state in states if state not in reached]
 
 
 @cache
 def load_chart(name: str) -> Chart:
-    """Load one of the charts that ship with coursekeel, by its file's name."""
+    """Load a chart that is part of coursekeel; ``name`` is its file name's stem."""
     file = resources.files("coursekeel.charts").joinpath(f"{name}.json")
     return parse_chart(file.read_text(encoding="utf-8"))
--- a/src/coursekeel/errors.py
+++ b/src/coursekeel/errors.py
@@ -1,8 +1,8 @@
-"""Every exception that coursekeel raises.
+"""The exceptions that coursekeel raises.
 
-Outcomes that can happen in service (a refused connection, a store outage, a lost
-race) are values and do not stand here. What stands here is misuse, which the person
-at the keyboard can mend, and broken invariants, which stop the process.
+They signal misuse, which the user can correct, and broken invariants, which stop the
+process. Failures expected in operation (a refused connection, a store outage, a lost
+race) are return values instead.
 """
 
 __all__ = [
@@ -16,17 +16,17 @@
 
 
 class CoursekeelError(Exception):
-    """The root of all exceptions raised by coursekeel."""
+    """The base class of all exceptions raised by coursekeel."""
 
 
 class SettingsInvalid(CoursekeelError):
-    """A settings file that can't be used; the message names every fault in it."""
+    """The settings file is invalid; the message lists every fault in it."""
 
 
 class RequestInvalid(CoursekeelError):
-    """A caller's or operator's request that can't be used.
+    """A request of a caller or an operator is invalid.
 
-    ``path`` is the path of the field at fault, in the request as it was sent.
+    ``path`` is the path of the invalid field in the request.
     """
 
     def __init__(self, path: str, message: str) -> None:
@@ -35,12 +35,12 @@
 
 
 class LogUnreadable(CoursekeelError):
-    """A log file that was named and can't be read."""
+    """A log file given on the command line can't be read."""
 
 
 class ChartError(CoursekeelError):
-    """A state chart that is incomplete or names what doesn't exist."""
+    """A state chart is incomplete or refers to an undefined state."""
 
 
 class InvariantBroken(CoursekeelError):
-    """Something happened that the state charts call impossible."""
+    """An invariant doesn't hold, such as an input that a chart lists as impossible."""
--- a/src/coursekeel/peers/__init__.py
+++ b/src/coursekeel/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What entries say to each other over gRPC; the code beside is generated."""
+"""The gRPC messages between entries; the other modules here are generated."""
--- a/src/coursekeel/reactor.py
+++ b/src/coursekeel/reactor.py
@@ -1,7 +1,7 @@
-"""The type of Twisted's reactor, as far as the checker is concerned.
+"""The type of Twisted's reactor in annotations.
 
-Twisted declares its reactors by zope interfaces, which mypy can't follow; what is
-passed around under this name is ``twisted.internet.reactor``.
+Twisted declares its reactors as zope interfaces, which mypy doesn't support. At run
+time the value is ``twisted.internet.reactor``.
 """
 
 from typing import Any
--- a/src/coursekeel/strict.py
+++ b/src/coursekeel/strict.py
@@ -1,10 +1,9 @@
-"""Read JSON values into attrs classes; silent conversions are faults.
+"""Structure JSON values into attrs classes, without implicit type conversions.
 
-`strict_converter` is for what people write (settings, intents): an unknown key is a
-fault too. `message_converter` is for what other programs send: a key that isn't read
-is passed over, since their next version may have more. Owns no state; relies on cattrs
-alone, and stands apart from what reads with it, so that a gateway doesn't load the
-intents.
+`strict_converter` is for files that people write (settings, intents) and rejects
+unknown keys. `message_converter` is for messages of other programs and ignores unknown
+keys, since a newer sender may add some. Owns no state; relies on cattrs alone. It is a
+module of its own so that a gateway doesn't import the intents.
 """
 
 from enum import Enum
@@ -21,7 +20,7 @@
 
 
 def _strict_scalar(value: Any, kind: type) -> Any:
-    """Take a scalar only if it has the type that is expected: "5" is no number."""
+    """Accept a scalar only if it has the expected type: "5" is no number."""
     if kind is float and type(value) is int:
         return float(value)
     if type(value) is not kind:
@@ -29,15 +28,15 @@
     return value
 
 
-def _enum_member(value: Any, kind: type[Enum]) -> Enum:
+def _read_enum(value: Any, kind: type[Enum]) -> Enum:
     try:
         return kind(value)
     except ValueError as failure:
-        allowed = ", ".join(str(each.value) for each in kind)
+        allowed = ", ".join(str(member.value) for member in kind)
         raise ValueError(f"got {value!r}, expected one of: {allowed}") from failure
 
 
-def _converter(forbid_extra_keys: bool) -> cattrs.Converter:
+def _scalar_converter(forbid_extra_keys: bool) -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=forbid_extra_keys)
     for kind in _SCALARS:
         converter.register_structure_hook(kind, _strict_scalar)
@@ -45,60 +44,62 @@
 
 
 def strict_converter(*classes: type) -> cattrs.Converter:
-    """A converter that forbids unknown keys and silent conversions."""
-    converter = _converter(forbid_extra_keys=True)
+    """Return a converter that rejects unknown keys and implicit conversions."""
+    converter = _scalar_converter(forbid_extra_keys=True)
     converter.register_structure_hook_func(
-        lambda kind: isinstance(kind, type) and issubclass(kind, Enum), _enum_member
+        lambda kind: isinstance(kind, type) and issubclass(kind, Enum), _read_enum
     )
-    for each in classes:
-        converter.register_structure_hook(each, make_dict_structure_fn(each, converter))
+    for cls in classes:
+        converter.register_structure_hook(cls, make_dict_structure_fn(cls, converter))
     return converter
 
 
 def message_converter(*classes: type) -> cattrs.Converter:
-    """A converter for messages whose keys are written with hyphens.
+    """Return a converter for messages whose keys are attribute names with hyphens.
 
-    An attribute whose key is written otherwise names it in its metadata, as ``key``. A
-    key that is missing or null counts as absent, and one that no attribute reads is
-    passed over. Inner classes must come before those that hold them.
+    An attribute with another key names it in its metadata, as ``key``. A null value
+    counts as absent, and unknown keys are ignored. In ``classes``, a nested class must
+    precede the classes that contain it.
     """
-    converter = _converter(forbid_extra_keys=False)
+    converter = _scalar_converter(forbid_extra_keys=False)
     converter.register_structure_hook_func(
-        _is_tuple,
-        lambda value, kind: _items(value, get_args(kind)[0], converter),
+        _is_tuple_type,
+        lambda value, kind: _read_list(value, get_args(kind)[0], converter),
     )
-    for each in classes:
-        converter.register_structure_hook(each, _message_hook(each, converter))
+    for cls in classes:
+        converter.register_structure_hook(cls, _message_structure_hook(cls, converter))
     return converter
 
 
-def _is_tuple(kind: Any) -> bool:
+def _is_tuple_type(kind: Any) -> bool:
     origin: Any = get_origin(kind)
     return origin is tuple
 
 
-def _message_hook(kind: type, converter: cattrs.Converter) -> Any:
+def _message_structure_hook(kind: type, converter: cattrs.Converter) -> Any:
     keys: Any = {
-        each.name: override(rename=each.metadata.get("key") or _hyphened(each.name))
-        for each in attrs.fields(kind)
+        attribute.name: override(
+            rename=attribute.metadata.get("key") or _hyphenated(attribute.name)
+        )
+        for attribute in attrs.fields(kind)
     }
     structure: Any = make_dict_structure_fn(kind, converter, **keys)
 
     def hook(value: Any, _: type) -> Any:
         if not isinstance(value, dict):
             raise TypeError(f"got {value!r}, expected an object")
-        present = {key: each for key, each in value.items() if each is not None}
+        present = {key: item for key, item in value.items() if item is not None}
         return structure(present, kind)
 
     return hook
 
 
-def _hyphened(name: str) -> str:
+def _hyphenated(name: str) -> str:
     return name.replace("_", "-")
 
 
-def _items(value: Any, kind: type, converter: cattrs.Converter) -> tuple[Any, ...]:
-    """Read a list; a text is none, though Python can walk through its characters."""
+def _read_list(value: Any, kind: type, converter: cattrs.Converter) -> tuple[Any, ...]:
+    """Structure a list; a string is rejected, although Python can iterate over it."""
     if not isinstance(value, list):
         raise TypeError(f"got {value!r}, expected a list")
     if kind is Any:
@@ -109,7 +110,9 @@
 def _fault_text(failure: BaseException, _type: type | None) -> str:
     if isinstance(failure, cattrs.errors.ForbiddenExtraKeysError):
         extra = ", ".join(sorted(failure.extra_fields))
-        known = ", ".join(each.name for each in attrs.fields(failure.cl) if each.init)
+        known = ", ".join(
+            attribute.name for attribute in attrs.fields(failure.cl) if attribute.init
+        )
         return f"unknown key {extra}; expected only: {known}"
     if isinstance(failure, KeyError):
         return "required key is missing"
@@ -117,14 +120,14 @@
 
 
 def faults_of(failure: BaseException, whole: str = "file") -> list[str]:
-    """Every fault in a value that could not be structured, each with its path.
+    """List the faults in a value that could not be structured, each with its path.
 
-    ``whole`` is what a fault of the value itself is said of.
+    ``whole`` stands in place of the path where the fault is in the value itself.
     """
-    found = transform_error(failure, format_exception=_fault_text)
-    return [_readable(each, whole) for each in found]
+    faults = transform_error(failure, format_exception=_fault_text)
+    return [_with_path_first(fault, whole) for fault in faults]
 
 
-def _readable(fault: str, whole: str) -> str:
+def _with_path_first(fault: str, whole: str) -> str:
     text, _, path = fault.rpartition(" @ ")
     return f"{path.removeprefix('$').lstrip('.') or whole}: {text}"
--- a/tests/cover/test_charts.py
+++ b/tests/cover/test_charts.py
@@ -13,7 +13,7 @@
     assert load_chart(name).machine().state == load_chart(name).initial
 
 
-def test_follows_transitions_and_stops_at_the_impossible():
+def test_follows_transitions_and_raises_on_an_impossible_input():
     machine = load_chart("attempt").machine()
     machine.feed("head_right")
     assert machine.feed("finished") == "ended"
@@ -35,6 +35,6 @@
         ({"a": {}, "b": {}}, "can't be reached"),
     ],
 )
-def test_names_what_is_wrong_with_a_chart(states, fault):
+def test_the_error_names_the_fault_of_a_chart(states, fault):
     with pytest.raises(ChartError, match=fault):
         parse_chart(json.dumps({"name": "x", "initial": "a", "states": states}))
