--- a/src/coursekeel/cli/__init__.py
+++ b/src/coursekeel/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one program for serving and for operating."""
+"""The command line, for serving and for operating."""
 
 from coursekeel.cli._main import main
 
--- a/src/coursekeel/cli/_client.py
+++ b/src/coursekeel/cli/_client.py
@@ -1,4 +1,4 @@
-"""What the command line needs of an entry's HTTP interface."""
+"""A client of an entry's HTTP interface for the command line."""
 
 from http.client import HTTPConnection, HTTPException
 from typing import Any, TextIO
@@ -11,24 +11,24 @@
 
 __all__ = ["EntryClient"]
 
-# For one question of the command line. Longer than an entry needs for any answer.
+# Longer than an entry needs for any response.
 _TIMEOUT_S = 30
 
 
 @define
 class EntryClient:
-    """Asks one entry. The command line needs no event loop, so none is started."""
+    """Sends requests to one entry, without an event loop."""
 
     entry: str
     key: str
 
-    def ask(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """Send one request; returns its status and JSON."""
+    def request(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+        """Send one request; returns the response's status and parsed JSON."""
         response = self._send(method, path, body, "application/json")
         return response.status, orjson.loads(response.read() or b"{}")
 
     def follow(self, request_id: str, out: TextIO) -> int:
-        """Write an answer's text as it comes; 0 if it came whole."""
+        """Stream an answer's text to ``out``; returns 0 if it was complete, else 1."""
         path = f"/v1/answers/{request_id}"
         response = self._send("GET", path, None, "text/event-stream")
         if response.status != 200:
@@ -44,14 +44,12 @@
         return 1
 
     def _send(self, method: str, path: str, body: Any, accept: str) -> Any:
-        place = urlsplit(self.entry)
-        if place.scheme != "http" or not place.hostname:
+        url = urlsplit(self.entry)
+        if url.scheme != "http" or not url.hostname:
             raise CoursekeelError(
                 f"--entry: got {self.entry!r}, expected http://HOST:PORT"
             )
-        connection = HTTPConnection(
-            place.hostname, place.port or 80, timeout=_TIMEOUT_S
-        )
+        connection = HTTPConnection(url.hostname, url.port or 80, timeout=_TIMEOUT_S)
         data = body if body is None or isinstance(body, bytes) else orjson.dumps(body)
         headers = {"authorization": f"Bearer {self.key}", "accept": accept}
         try:
@@ -64,5 +62,5 @@
 def _text(event: dict[str, Any]) -> str:
     choices = event.get("choices") or [{}]
     choice = choices[0]
-    found = choice.get("text") or choice.get("delta", {}).get("content") or ""
-    return str(found)
+    text = choice.get("text") or choice.get("delta", {}).get("content") or ""
+    return str(text)
--- a/src/coursekeel/cli/_explain.py
+++ b/src/coursekeel/cli/_explain.py
@@ -1,4 +1,4 @@
-"""Print what logs tell of one request."""
+"""Print the history of one request from logs."""
 
 import sys
 from collections.abc import Iterable, Iterator
@@ -13,9 +13,9 @@
 
 
 def explain_request(request_id: str, logs: Iterable[Path]) -> int:
-    """Print the request's lines in order and its cause; 1 if no line names it."""
+    """Print the request's log lines and its outcome; returns the exit code."""
     files = list(logs)
-    texts = _lines_of(files) if files else iter(sys.stdin)
+    texts = _read_lines(files) if files else iter(sys.stdin)
     explanation = explain(request_id, texts)
     for line in explanation.lines:
         print(line.text)
@@ -23,7 +23,7 @@
     return 0 if explanation.lines else _EXIT_NOT_FOUND
 
 
-def _lines_of(files: Iterable[Path]) -> Iterator[str]:
+def _read_lines(files: Iterable[Path]) -> Iterator[str]:
     for file in files:
         try:
             with file.open(encoding="utf-8", errors="replace") as lines:
--- a/src/coursekeel/cli/_main.py
+++ b/src/coursekeel/cli/_main.py
@@ -1,4 +1,7 @@
-"""The commands. Exit codes: 0 done, 1 refused or failed, 2 misuse, 3 unsure."""
+"""The commands. Exit codes: 0 done, 1 refused or failed, 2 misuse, 3 unsure.
+
+They are documented in docs/operators/index.md.
+"""
 
 import sys
 from pathlib import Path
@@ -13,9 +16,9 @@
 
 __all__ = ["main"]
 
-EXIT_REFUSED = 1  # docs/operators/index.md names the codes
+EXIT_REFUSED = 1
 EXIT_MISUSE = 2  # as argparse does
-EXIT_UNSURE = 3  # docs/operators/index.md
+EXIT_UNSURE = 3
 
 _SettingsFile = Annotated[
     Path, cappa.Arg(long="--settings", help="The settings file, JSON with comments.")
@@ -25,7 +28,7 @@
     cappa.Arg(
         long="--entry",
         default=cappa.Env("COURSEKEEL_ENTRY", default="http://127.0.0.1:8080"),
-        help="Any entry's address; COURSEKEEL_ENTRY is used if it isn't given.",
+        help="The address of any entry; the default is COURSEKEEL_ENTRY.",
     ),
 ]
 _Key = Annotated[
@@ -33,7 +36,7 @@
     cappa.Arg(
         long="--key",
         default=cappa.Env("COURSEKEEL_KEY", default=""),
-        help="The bearer key; better given in COURSEKEEL_KEY.",
+        help="The bearer key; prefer the variable COURSEKEEL_KEY.",
     ),
 ]
 _Json = Annotated[
@@ -46,7 +49,7 @@
 )
 @define
 class EntryCommand:
-    """Run one entry."""
+    """Run an entry until it is stopped."""
 
     settings: _SettingsFile
     log_level: Annotated[str, cappa.Arg(long="--log-level", help="DEBUG, INFO, …")] = (
@@ -54,7 +57,7 @@
     )
 
     def __call__(self) -> int:
-        """Serve."""
+        """Run the command; returns the exit code."""
         from coursekeel.cli._serve import serve
 
         return serve(self.settings, self.log_level)
@@ -63,12 +66,12 @@
 @cappa.command(name="check", help="Check a settings file and name every fault in it.")
 @define
 class CheckCommand:
-    """Check settings."""
+    """Check a settings file."""
 
     settings: _SettingsFile
 
     def __call__(self) -> int:
-        """Check."""
+        """Run the command; returns the exit code."""
         from coursekeel.settings import check_settings
 
         checked = check_settings(self.settings)
@@ -77,20 +80,20 @@
 
 
 @cappa.command(
-    name="explain", help="Tell the life of one request from logs, and its cause."
+    name="explain", help="Explain the history and outcome of one request from logs."
 )
 @define
 class ExplainCommand:
-    """Explain a request."""
+    """Explain the history of a request from logs."""
 
     request_id: Annotated[str, cappa.Arg(help="The request's id.")]
     logs: Annotated[
         list[Path],
-        cappa.Arg(help="Log files; standard input if none."),
+        cappa.Arg(help="Log files; the default is standard input."),
     ] = field(factory=list)
 
     def __call__(self) -> int:
-        """Explain."""
+        """Run the command; returns the exit code."""
         from coursekeel.cli._explain import explain_request
 
         return explain_request(self.request_id, self.logs)
@@ -99,7 +102,7 @@
 @cappa.command(name="plan", help="Show what an intent would change; changes nothing.")
 @define
 class PlanCommand:
-    """Plan an intent."""
+    """Show what an intent would change."""
 
     intent: Annotated[Path, cappa.Arg(help="The intent, JSON with comments.")]
     entry: _Entry
@@ -107,15 +110,15 @@
     json: _Json = False
 
     def __call__(self) -> int:
-        """Plan."""
+        """Run the command; returns the exit code."""
         body = self.intent.read_bytes()
-        return _ask(self, "POST", "/operator/plans", "plan", body)
+        return _request(self, "POST", "/operator/plans", "plan", body)
 
 
-@cappa.command(name="confirm", help="Put a plan into force; again gives the same.")
+@cappa.command(name="confirm", help="Put a plan into force; may be repeated.")
 @define
 class ConfirmCommand:
-    """Confirm a plan."""
+    """Put a plan into force."""
 
     plan_id: str
     entry: _Entry
@@ -124,20 +127,20 @@
         list[str],
         cappa.Arg(
             long="--known-stopped",
-            help="An instance known to be stopped, not to be waited for.",
+            help="An instance that is known to be stopped; it isn't waited for.",
         ),
     ] = field(factory=list)
     json: _Json = False
 
     def __call__(self) -> int:
-        """Confirm."""
+        """Run the command; returns the exit code."""
         path = f"/operator/plans/{self.plan_id}/confirm"
-        return _ask(
+        return _request(
             self, "POST", path, "confirm", {"known_stopped": self.known_stopped}
         )
 
 
-@cappa.command(name="show", help="Show what is in force and whom it waits for.")
+@cappa.command(name="show", help="Show the intent in force and what it waits for.")
 @define
 class ShowCommand:
     """Show the configuration in force."""
@@ -147,30 +150,30 @@
     json: _Json = False
 
     def __call__(self) -> int:
-        """Show."""
-        return _ask(self, "GET", "/operator/intent", "intent")
+        """Run the command; returns the exit code."""
+        return _request(self, "GET", "/operator/intent", "intent")
 
 
-@cappa.command(name="intent", help="Plan, confirm and show what should run.")
+@cappa.command(name="intent", help="Plan, confirm and show the intent.")
 @define
 class IntentCommand:
-    """Work on the intent."""
+    """The commands on the intent."""
 
     command: cappa.Subcommands[PlanCommand | ConfirmCommand | ShowCommand]
 
 
-@cappa.command(name="endpoints", help="Show every endpoint and what is known of it.")
+@cappa.command(name="endpoints", help="Show every endpoint and its state.")
 @define
 class EndpointsCommand:
-    """Show endpoints."""
+    """Show all endpoints."""
 
     entry: _Entry
     key: _Key
     json: _Json = False
 
     def __call__(self) -> int:
-        """Show."""
-        return _ask(self, "GET", "/operator/endpoints", "endpoints")
+        """Run the command; returns the exit code."""
+        return _request(self, "GET", "/operator/endpoints", "endpoints")
 
 
 @cappa.command(name="status", help="Show one entry's state and troubled answers.")
@@ -183,21 +186,21 @@
     json: _Json = False
 
     def __call__(self) -> int:
-        """Show."""
-        return _ask(self, "GET", "/operator/status", "status")
+        """Run the command; returns the exit code."""
+        return _request(self, "GET", "/operator/status", "status")
 
 
-@cappa.command(name="follow", help="Write an answer's text as it comes.")
+@cappa.command(name="follow", help="Stream an answer's text.")
 @define
 class FollowCommand:
-    """Follow an answer with a team's key."""
+    """Stream an answer's text; needs the key of its team."""
 
     request_id: str
     entry: _Entry
     key: _Key
 
     def __call__(self) -> int:
-        """Follow."""
+        """Run the command; returns the exit code."""
         client = EntryClient(self.entry, self.key)
         return client.follow(self.request_id, sys.stdout)
 
@@ -205,7 +208,7 @@
 @cappa.command(name="answer", help="Read answers.")
 @define
 class AnswerCommand:
-    """Work on answers."""
+    """The commands on answers."""
 
     command: cappa.Subcommands[FollowCommand]
 
@@ -222,7 +225,7 @@
 )
 @define
 class Coursekeel:
-    """The program."""
+    """The program and its commands."""
 
     command: cappa.Subcommands[
         EntryCommand
@@ -235,9 +238,9 @@
     ]
 
 
-def _ask(command: Any, method: str, path: str, kind: str, body: Any = None) -> int:
+def _request(command: Any, method: str, path: str, kind: str, body: Any = None) -> int:
     client = EntryClient(command.entry, command.key)
-    status, answer = client.ask(method, path, body)
+    status, answer = client.request(method, path, body)
     show(kind, status, answer, command.json)
     if status < 300:
         return 0
@@ -246,7 +249,7 @@
 
 
 def main() -> None:
-    """Run the program and end with its exit code."""
+    """Run the program and exit with its exit code."""
     try:
         result = cappa.invoke(Coursekeel)
     except CoursekeelError as fault:
--- a/src/coursekeel/cli/_serve.py
+++ b/src/coursekeel/cli/_serve.py
@@ -1,4 +1,4 @@
-"""Run an entry until it is told to stop."""
+"""Run an entry until SIGTERM or SIGINT."""
 
 from pathlib import Path
 
--- a/src/coursekeel/explain/__init__.py
+++ b/src/coursekeel/explain/__init__.py
@@ -1,4 +1,4 @@
-"""The life of one request, told from the logs of any number of instances."""
+"""The history of one request, from the logs of any number of instances."""
 
 from coursekeel.explain._explain import Explanation, LogLine, explain, parse_line
 
--- a/src/coursekeel/observe/_labels.py
+++ b/src/coursekeel/observe/_labels.py
@@ -1,4 +1,4 @@
-"""A bound on how many series a metric has, whatever a configuration names."""
+"""Limits the number of time series of a metric."""
 
 from attrs import define, field
 
@@ -9,21 +9,21 @@
 
 @define
 class LabelSets:
-    """Lets the first ``most`` sets of labels through, and counts the rest as "other".
+    """Passes the first ``max_sets`` label sets on and replaces later values by "other".
 
-    Routes come and go with configurations, thousands of them in a day; a series lives
-    as long as its process.
+    A series exists until its process ends, while configurations may add and remove
+    thousands of routes in a day.
     """
 
-    most: int
+    max_sets: int
     kept: tuple[str, ...] = ()
-    _known: set[tuple[str, ...]] = field(factory=set)
+    _seen: set[tuple[str, ...]] = field(factory=set)
 
     def of(self, labels: dict[str, str]) -> dict[str, str]:
-        """The labels to count under; those named in ``kept`` keep their value."""
+        """Return the labels to use; those named in ``kept`` always keep their value."""
         key = tuple(labels.values())
-        if key in self._known or len(self._known) < self.most:
-            self._known.add(key)
+        if key in self._seen or len(self._seen) < self.max_sets:
+            self._seen.add(key)
             return labels
         return {
             name: value if name in self.kept else OTHER
--- a/src/coursekeel/observe/_logs.py
+++ b/src/coursekeel/observe/_logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs an event, written without ever blocking."""
+"""Logs events as lines of key=value pairs and never blocks on the output."""
 
 import logging
 import os
@@ -11,25 +11,24 @@
 __all__ = ["flush_logs", "log_event", "set_up_logging"]
 
 _LOGGER = logging.getLogger("coursekeel")
-_NEEDS_QUOTES = frozenset(" \"'\\=\n\r\t")
-# What may wait for a slow reader: some thousand lines, a small part of an instance's
-# 128 MB.
-_MOST_BYTES = 256 * 1024
+_QUOTED_CHARACTERS = frozenset(" \"'\\=\n\r\t")
+# Limit of the lines that wait for a slow reader: a few thousand lines.
+_MAX_WAITING_BYTES = 256 * 1024
 
 
-class _UnblockedHandler(logging.Handler):
-    """Writes lines to a descriptor as far as it takes them; the rest waits.
+class _NonBlockingHandler(logging.Handler):
+    """Writes lines to a non-blocking file descriptor; queues what it doesn't accept.
 
-    What is left is written at the next event or by `flush_logs`. A reader that stops
-    reading costs lines, and says so itself once it reads again.
+    The queue is written at the next event or by `flush_logs`. If the reader stalls,
+    lines are dropped, and their number is logged once it reads again.
     """
 
-    def __init__(self, descriptor: int, most_bytes: int) -> None:
+    def __init__(self, descriptor: int, max_waiting_bytes: int) -> None:
         super().__init__()
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._queue = LogQueue(most_bytes)
-        self._begun = b""
+        self._queue = LogQueue(max_waiting_bytes)
+        self._partial_line = b""
 
     def emit(self, record: logging.LogRecord) -> None:
         line = self.format(record).encode("utf-8", "replace") + b"\n"
@@ -37,35 +36,38 @@
         self.flush()
 
     def flush(self) -> None:
-        while self._begun or not self._queue.empty:
-            self._begun = self._begun or self._queue.take()
+        while self._partial_line or not self._queue.empty:
+            self._partial_line = self._partial_line or self._queue.pop()
             try:
-                written = os.write(self._descriptor, self._begun)
+                written = os.write(self._descriptor, self._partial_line)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody will ever read this descriptor again.
-                self._begun = b""
+                # The reader has closed the descriptor.
+                self._partial_line = b""
                 continue
-            self._begun = self._begun[written:]
-        self._tell_dropped()
+            self._partial_line = self._partial_line[written:]
+        self._log_dropped()
 
-    def _tell_dropped(self) -> None:
-        dropped = self._queue.take_dropped()
+    def _log_dropped(self) -> None:
+        dropped = self._queue.pop_dropped_count()
         if dropped:
             log_event("log_lines_dropped", logging.WARNING, lines=dropped)
 
 
 def set_up_logging(
-    instance_id: str, level: str = "INFO", most_bytes: int = _MOST_BYTES
+    instance_id: str, level: str = "INFO", max_waiting_bytes: int = _MAX_WAITING_BYTES
 ) -> None:
-    """Write events to standard output, each line with time, level and instance."""
-    handler = _UnblockedHandler(sys.stdout.fileno(), most_bytes)
-    form = (
+    """Log to standard output; each line begins with time, level and instance.
+
+    ``max_waiting_bytes`` limits the lines that wait for a slow reader.
+    """
+    handler = _NonBlockingHandler(sys.stdout.fileno(), max_waiting_bytes)
+    line_format = (
         "time=%(asctime)s.%(msecs)03dZ level=%(levelname)s "
         f"instance={instance_id} %(message)s"
     )
-    formatter = logging.Formatter(form, "%Y-%m-%dT%H:%M:%S")
+    formatter = logging.Formatter(line_format, "%Y-%m-%dT%H:%M:%S")
     formatter.converter = time.gmtime
     handler.setFormatter(formatter)
     _LOGGER.handlers[:] = [handler]
@@ -74,13 +76,13 @@
 
 
 def flush_logs() -> None:
-    """Write what waits, as far as the reader takes it now."""
+    """Write the queued lines, as far as the output accepts them."""
     for handler in _LOGGER.handlers:
         handler.flush()
 
 
 def log_event(event: str, level: int = logging.INFO, **fields: Any) -> None:
-    """Log one event; values with spaces or quotes are quoted, so lines stay one."""
+    """Log one event as one line; values are quoted and escaped where needed."""
     if _LOGGER.isEnabledFor(level):
         pairs = (f"{key}={_text(value)}" for key, value in fields.items())
         _LOGGER.log(level, " ".join([f"event={event}", *pairs]))
@@ -88,7 +90,7 @@
 
 def _text(value: Any) -> str:
     text = str(value)
-    if text and not _NEEDS_QUOTES & set(text):
+    if text and not _QUOTED_CHARACTERS & set(text):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
     return '"' + escaped.replace("\n", "\\n").replace("\r", "\\r") + '"'
--- a/src/coursekeel/observe/_metrics.py
+++ b/src/coursekeel/observe/_metrics.py
@@ -1,7 +1,7 @@
-"""Metrics by team and class, for both of the users' measures.
+"""The metrics of an entry, by team and request class.
 
-Resume latency is what head office weighs, extra use is what Paysandú weighs; each has
-its histogram or counters here, so that a policy is judged by what the product says.
+The two measures that policies are compared by, resume latency and extra use, each have
+a histogram or counters here.
 """
 
 import resource
@@ -16,10 +16,10 @@
 
 
 class Metrics:
-    """Every metric an entry gives out, each in the unit its name ends with.
+    """The metrics of an entry; the suffix of a metric's name is its unit.
 
-    All lie in a registry of their own: the library's default one is the process's, and
-    refuses a second set.
+    They use a registry of their own, since the library's default registry is global to
+    the process and rejects a second set.
     """
 
     def __init__(self) -> None:
@@ -27,18 +27,19 @@
         self._gauges: list[tuple[Gauge, Callable[[], float]]] = []
         self.first_token_s = self._histogram(
             "coursekeel_first_token_seconds",
-            "From a request's arrival to its first token",
+            "Time from a request's arrival to its first token",
         )
         self.token_gap_s = self._histogram(
-            "coursekeel_token_gap_seconds", "Between tokens, sampled once in 64"
+            "coursekeel_token_gap_seconds",
+            "Time between two tokens; 1 in 64 sampled",
         )
         self.resume_s = self._histogram(
             "coursekeel_resume_seconds",
-            "From an answer's last token to its next, over a loss",
+            "Time from the last token before a lost run to the next token",
         )
         self.call_s = self._histogram(
             "coursekeel_call_seconds",
-            "A call to a plain service, from arrival to reply",
+            "Time from the arrival of a call to a plain service to its reply",
         )
         self.requests = self._counter(
             "coursekeel_requests_total", "Requests by team, class and outcome"
@@ -48,14 +49,14 @@
         )
         self.extra_tokens = self._counter(
             "coursekeel_extra_tokens_total",
-            "Extra use: tokens made and thrown away, or prefilled again",
+            "Extra use: tokens that were discarded or prefilled again",
         )
         self.attempts = self._counter(
-            "coursekeel_attempts_total", "Runs asked of endpoints, by way"
+            "coursekeel_attempts_total", "Runs requested from endpoints, by way"
         )
-        processor = "Processor time of this process"
+        processor = "Processor time used by this process"
         self.gauge("coursekeel_processor_seconds", processor, _processor_s)
-        memory = "Resident memory of this process at its largest"
+        memory = "Peak resident memory of this process"
         self.gauge("coursekeel_memory_bytes", memory, _memory_bytes)
 
     def _histogram(self, name: str, doc: str) -> Histogram:
@@ -65,12 +66,12 @@
         return Counter(name, doc, registry=self._registry)
 
     def gauge(self, name: str, doc: str, read: Callable[[], float]) -> None:
-        """Add a gauge that is read when the metrics are asked for."""
+        """Add a gauge; ``read`` returns its value and is called at each `render`."""
         gauge = Gauge(name, doc, registry=self._registry)
         self._gauges.append((gauge, read))
 
     def render(self, accepts: list[str]) -> tuple[bytes, dict[str, str]]:
-        """The metrics in the form asked for, with the headers to send."""
+        """Return the metrics in a format from ``accepts``, and the response headers."""
         for gauge, read in self._gauges:
             gauge.set({}, read())
         content, headers = render(self._registry, accepts)
--- a/src/coursekeel/observe/_queue.py
+++ b/src/coursekeel/observe/_queue.py
@@ -1,4 +1,4 @@
-"""Log lines that wait to be written, bounded, the least important dropped first."""
+"""A bounded queue of log lines that drops the least important lines first."""
 
 from collections import deque
 
@@ -9,55 +9,55 @@
 
 @define
 class LogQueue:
-    """Lines by level; ``most_bytes`` bounds all of them together.
+    """Log lines by level; ``max_bytes`` limits their total size.
 
-    A request must never wait for whoever reads the log, so what doesn't fit is dropped:
-    the oldest line of the lowest level, and a new line only when all that waits is more
-    important. What was dropped is counted, and said in a line once there is room.
+    Requests must not wait for a slow log reader. When the queue is full, the oldest
+    line of the lowest level is dropped; a new line is dropped only if all queued lines
+    have a higher level. ``dropped`` counts these lines.
     """
 
-    most_bytes: int
+    max_bytes: int
     dropped: int = 0
-    _waiting_bytes: int = 0
-    _number: int = 0
-    _levels: dict[int, deque[tuple[int, bytes]]] = field(factory=dict)
+    _queued_bytes: int = 0
+    _last_number: int = 0
+    _by_level: dict[int, deque[tuple[int, bytes]]] = field(factory=dict)
 
     def add(self, level: int, line: bytes) -> None:
-        """Queue a line, at the expense of less important ones if need be."""
-        while self._waiting_bytes + len(line) > self.most_bytes:
-            lowest = min(self._levels, default=level + 1)
+        """Queue a line; if it is full, drops the least important line first."""
+        while self._queued_bytes + len(line) > self.max_bytes:
+            lowest = min(self._by_level, default=level + 1)
             if lowest > level:
                 self.dropped += 1
                 return
             self._drop_oldest(lowest)
-        self._number += 1
-        self._levels.setdefault(level, deque()).append((self._number, line))
-        self._waiting_bytes += len(line)
+        self._last_number += 1
+        self._by_level.setdefault(level, deque()).append((self._last_number, line))
+        self._queued_bytes += len(line)
 
     def _drop_oldest(self, level: int) -> None:
-        _, line = self._levels[level].popleft()
-        self._waiting_bytes -= len(line)
+        _, line = self._by_level[level].popleft()
+        self._queued_bytes -= len(line)
         self.dropped += 1
-        if not self._levels[level]:
-            del self._levels[level]
+        if not self._by_level[level]:
+            del self._by_level[level]
 
-    def take(self) -> bytes:
-        """Take the oldest line; empty if none waits."""
-        if not self._levels:
+    def pop(self) -> bytes:
+        """Remove and return the oldest line; empty if there is none."""
+        if not self._by_level:
             return b""
-        oldest = min(self._levels, key=lambda level: self._levels[level][0][0])
-        _, line = self._levels[oldest].popleft()
-        if not self._levels[oldest]:
-            del self._levels[oldest]
-        self._waiting_bytes -= len(line)
+        oldest = min(self._by_level, key=lambda level: self._by_level[level][0][0])
+        _, line = self._by_level[oldest].popleft()
+        if not self._by_level[oldest]:
+            del self._by_level[oldest]
+        self._queued_bytes -= len(line)
         return line
 
-    def take_dropped(self) -> int:
-        """How many lines were dropped since this was last asked."""
+    def pop_dropped_count(self) -> int:
+        """Return how many lines were dropped since the last call."""
         dropped, self.dropped = self.dropped, 0
         return dropped
 
     @property
     def empty(self) -> bool:
-        """Say whether nothing waits."""
-        return not self._levels
+        """Return whether no line is queued."""
+        return not self._by_level
--- a/tests/cover/test_logs.py
+++ b/tests/cover/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded, never block, and can be read back."""
+"""Log output is bounded, never blocks, and can be parsed back."""
 
 import os
 
@@ -14,37 +14,37 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from([LOW, HIGH]), st.integers(1, 40))))
-def test_a_queue_keeps_its_bound_and_drops_the_least_important_first(lines):
+def test_a_queue_keeps_its_limit_and_drops_the_lowest_level_first(lines):
     queue = LogQueue(100)
     for level, length in lines:
         queue.add(level, b"%d" % (level // 10) * length)
-    kept = []
+    queued = []
     while not queue.empty:
-        kept.append(queue.take())
-    assert sum(map(len, kept)) <= 100
-    assert len(kept) + queue.take_dropped() == len(lines)
+        queued.append(queue.pop())
+    assert sum(map(len, queued)) <= 100
+    assert len(queued) + queue.pop_dropped_count() == len(lines)
     high = [b"4" * length for level, length in lines if level == HIGH]
     if sum(map(len, high)) <= 100:
-        assert [line for line in kept if line[:1] == b"4"] == high
+        assert [line for line in queued if line[:1] == b"4"] == high
 
 
-def test_lines_leave_in_the_order_they_came():
+def test_lines_leave_in_the_order_of_arrival():
     queue = LogQueue(100)
     for level, line in ((LOW, b"a"), (HIGH, b"b"), (LOW, b"c")):
         queue.add(level, line)
-    assert [queue.take(), queue.take(), queue.take()] == [b"a", b"b", b"c"]
+    assert [queue.pop(), queue.pop(), queue.pop()] == [b"a", b"b", b"c"]
 
 
 @pytest.fixture
 def pipe(monkeypatch):
-    """Logging set up on a pipe whose reader reads only when told to."""
+    """Logging to a pipe whose reader reads only in `read_all`."""
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
     before = list(logs._LOGGER.handlers)
-    # Held here: pytest puts its own stdout back, and a file nobody holds is closed.
+    # Referenced until the end: a file without references would be closed.
     output = os.fdopen(writer, "w")
     monkeypatch.setattr(logs.sys, "stdout", output)
-    logs.set_up_logging("i1", most_bytes=4_000)
+    logs.set_up_logging("i1", max_waiting_bytes=4_000)
     yield reader
     logs._LOGGER.handlers[:] = before
     output.close()
@@ -61,8 +61,8 @@
         logs.flush_logs()
 
 
-def test_a_reader_that_stops_reading_holds_nothing_up(pipe):
-    """Before the queue, the thousandth line stood in `write` for ever."""
+def test_a_stalled_reader_does_not_block_logging(pipe):
+    """Guards against: logging blocks in `write` when the pipe is full."""
     for number in range(5_000):
         log_event("filler", number=number, text="x" * 60)
     read = read_all(pipe)
@@ -73,11 +73,11 @@
     ]
     assert numbers == sorted(numbers)
     assert numbers[-1] == 4_999
-    dropped = [parse_line(each) for each in read.decode().splitlines()][-1]
+    dropped = [parse_line(text) for text in read.decode().splitlines()][-1]
     assert int(dropped.get("lines")) == 5_000 - len(numbers)
 
 
-def test_a_reader_that_is_gone_holds_nothing_up(pipe, monkeypatch):
+def test_a_closed_reader_does_not_block_logging(pipe, monkeypatch):
     def closed(*_):
         raise BrokenPipeError
 
@@ -86,11 +86,11 @@
 
 
 @given(st.dictionaries(st.sampled_from("abc"), st.text(max_size=12), min_size=1))
-def test_whatever_is_logged_is_read_back(fields):
+def test_logged_fields_can_be_parsed_back(fields):
     record = " ".join(f"{key}={logs._text(value)}" for key, value in fields.items())
     line = parse_line(f"12.5 host time=t event=e {record}")
     if any("\r" in v or "\n" in v or "\\" in v for v in fields.values()):
-        return  # escapes are kept as they were written
+        return  # escape sequences are not decoded
     assert {key: line.get(key) for key in fields} == fields
 
 
@@ -101,8 +101,8 @@
     ]
 
 
-def test_an_old_belief_is_traced_to_the_store():
-    told = explain(
+def test_a_refusal_for_old_cached_state_names_the_store_failure():
+    explanation = explain(
         "r1",
         lines(
             "event=store_lost table=configuration reason=Timeout belief_age_ms=900",
@@ -110,22 +110,22 @@
             "belief_age_ms=4100",
         ),
     )
-    assert "4100 ms old" in told.cause and "Timeout" in told.cause
+    assert "4100 ms old" in explanation.cause and "Timeout" in explanation.cause
 
 
-def test_a_barred_request_is_told_why():
-    told = explain(
+def test_the_refusal_of_a_barred_request_names_the_lost_endpoints():
+    explanation = explain(
         "r1",
         lines(
             "event=request_refused request=r1 outcome=request_stops_engines status=503 "
             "fingerprint=f barred_ms=90000",
         ),
     )
-    assert "three endpoints ended under it" in told.cause
+    assert "three endpoints ended under it" in explanation.cause
 
 
 def test_a_lost_answer_names_the_endpoint_that_took_the_request():
-    told = explain(
+    explanation = explain(
         "r1",
         lines(
             "event=endpoint_chosen request=r1 endpoint=s3",
@@ -134,12 +134,12 @@
             "event=request_ended request=r2 outcome=answered status=200 sends=1",
         ),
     )
-    assert len(told.lines) == 3
-    assert "may have run" in told.cause and "s3: maybe_sent" in told.cause
+    assert len(explanation.lines) == 3
+    assert "may have run" in explanation.cause and "s3: maybe_sent" in explanation.cause
 
 
-def test_a_request_of_a_roll_out_is_told_which_versions_it_met():
-    told = explain(
+def test_a_request_during_a_rollout_names_the_versions_tried():
+    explanation = explain(
         "r1",
         lines(
             "event=endpoint_chosen request=r1 endpoint=e1 version=v2",
@@ -148,36 +148,38 @@
             "event=request_ended request=r1 outcome=answered status=200 sends=2",
         ),
     )
-    assert "during a roll-out, to version v2 then v1" in told.cause
+    assert "during a roll-out, to version v2 then v1" in explanation.cause
 
 
-def test_a_request_of_a_killed_instance_ends_without_a_word():
-    told = explain("r1", lines("event=endpoint_chosen request=r1 endpoint=s3"))
-    assert "stopped before it gave a final word" in told.cause
+def test_a_request_of_a_killed_instance_has_no_outcome():
+    explanation = explain("r1", lines("event=endpoint_chosen request=r1 endpoint=s3"))
+    assert "stopped before it gave a final word" in explanation.cause
 
 
 @pytest.mark.parametrize(
-    "before, said",
+    "previous_event, expected",
     [
         ("event=gateway_stopped open_requests=1", "end of its grace"),
         ("event=gateway_drained open_requests=1", "caller left"),
         ("event=gateway_stopped instance=g2", "caller left"),
     ],
 )
-def test_a_stream_cut_by_its_own_instances_end_is_not_told_as_left(before, said):
-    told = explain(
+def test_a_stream_closed_by_its_stopping_instance_is_not_blamed_on_the_caller(
+    previous_event, expected
+):
+    explanation = explain(
         "r1",
         lines(
             "event=endpoint_chosen request=r1 endpoint=s3",
-            before,
+            previous_event,
             "event=request_ended request=r1 outcome=caller_left status=0 took_ms=900",
         ),
     )
-    assert said in told.cause
+    assert expected in explanation.cause
 
 
-def test_an_instance_that_started_again_has_not_stopped():
-    told = explain(
+def test_an_instance_that_restarted_does_not_count_as_stopped():
+    explanation = explain(
         "r1",
         lines(
             "event=gateway_stopped",
@@ -185,14 +187,14 @@
             "event=request_ended request=r1 outcome=caller_left status=0 took_ms=900",
         ),
     )
-    assert "caller left" in told.cause
+    assert "caller left" in explanation.cause
 
 
-def test_lines_of_several_instances_are_put_in_order():
+def test_lines_of_several_instances_are_sorted_by_time():
     first, second = lines("event=a request=r1", "event=request_ended request=r1")
-    told = explain("r1", [second, first])
-    assert [each.event for each in told.lines] == ["a", "request_ended"]
+    explanation = explain("r1", [second, first])
+    assert [line.event for line in explanation.lines] == ["a", "request_ended"]
 
 
-def test_a_request_that_no_line_names():
+def test_a_request_without_log_lines_never_reached_an_instance():
     assert "never reached" in explain("r9", ["noise", "time=1 event=x"]).cause
