--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -84,7 +84,7 @@
         names = [f"e{n}" for n in range(endpoints)]
         router.endpoints.configure({"m": names}, dict.fromkeys(names, "z"))
         for name in names:
-            router.reported(LoadReport(name, 0, 0, 1_000_000, 0.0), 0.0)
+            router.apply_report(LoadReport(name, 0, 0, 1_000_000, 0.0), 0.0)
         numbers = iter(range(1_000_000))
 
         def decide(router=router, numbers=numbers) -> None:
@@ -92,7 +92,7 @@
                 "t", "c", 1, "m", 100.0, 1e12, number=next(numbers), prompt_key="p"
             )
             (grant,) = router.place(request, 0.0)
-            router.released(grant.endpoint_id, 1.0, 0.0)
+            router.release(grant.endpoint_id, 1.0, 0.0)
 
         rows.append(
             {"slope": "routing", "endpoints": endpoints, "decision_us": _us(decide)}
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -81,7 +81,7 @@
     group.busy_s = 0.0
     group.run(MEASURED_MS)
     per = size * MEASURED_MS / 1000
-    holders = {m.holder(m.zone) for m in group.members.values()}
+    holders = {m.store_reader(m.zone) for m in group.members.values()}
     row = {
         "instances": size,
         "all_joined_ms": round(joined_ms),
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -109,14 +109,14 @@
 
     def first(self, endpoint: Endpoint) -> None:
         if self.router is not None:
-            self.router.succeeded(endpoint.name, "c")
+            self.router.record_success(endpoint.name, "c")
 
     def end(self, endpoint: Endpoint, took_ms: float) -> None:
         endpoint.running -= 1
         if endpoint.waiting:
             self.begin(endpoint.waiting.pop(0), endpoint)
         if self.router is not None:
-            self.decide(self.router.released(endpoint.name, took_ms, self.now_ms))
+            self.decide(self.router.release(endpoint.name, took_ms, self.now_ms))
 
     def report(self) -> None:
         """The load as it was when asked for, told as late as the next report."""
@@ -124,7 +124,7 @@
             report = LoadReport(
                 each.name, each.running, len(each.waiting), SLOTS, self.now_ms
             )
-            self.decide(self.router.reported(report, self.now_ms))
+            self.decide(self.router.apply_report(report, self.now_ms))
         if self.now_ms < SECONDS * 1000 * 2:
             self.at(self.now_ms + REPORT_MS, self.report)
 
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -31,7 +31,7 @@
         ends = 3 if number < barred else 1
         for each in range(ends):
             name, endpoint = f"{number:024x}", f"i-{number:08x}{each}"
-            quarantine.strike(name, endpoint, Sign.BEGAN, 100.0 * each)
+            quarantine.add_strike(name, endpoint, Sign.BEGAN, 100.0 * each)
     return quarantine
 
 
@@ -56,7 +56,7 @@
     tell_ms = round(1_000 * (time.process_time() - started), 1)
     bytes_each = len(encode_quarantine(told[0].message))
     take = QuarantineMessage("g", QuarantineKind.TAKE, "10.0.0.1:7215", "d")
-    take_token = gossip.heard_digest("10.0.0.1:7215", "other")[0].message.answer_token
+    take_token = gossip.receive_digest("10.0.0.1:7215", "other")[0].message.answer_token
     everything = gossip.received(
         QuarantineMessage("g", take.kind, take.sender, "d", take_token), 1_000.0
     )
@@ -64,7 +64,7 @@
         "instances": members,
         "verdict_us": _us_each(lambda n: quarantine.verdict(f"{n % 600:024x}", 1e6)),
         "strike_us": _us_each(
-            lambda n: quarantine.strike(f"f{n}", f"e{n}", Sign.BEGAN, 1_000.0 + n)
+            lambda n: quarantine.add_strike(f"f{n}", f"e{n}", Sign.BEGAN, 1_000.0 + n)
         ),
         "one_record_bytes": bytes_each,
         "origin_sends_bytes": bytes_each * len(told),
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -23,14 +23,14 @@
     CancelAttempt,
     CopyPlaced,
     Deliver,
-    EndpointSilent,
+    EndpointGranted,
+    EndpointStalled,
     Event,
-    Expected,
-    Granted,
+    ExpectedModel,
     HeadArrived,
     Loss,
     OpenAttempt,
-    SeekEndpoint,
+    RequestEndpoint,
     Started,
     StreamHead,
     TokensArrived,
@@ -100,7 +100,7 @@
         self._free_ms[name] = starts_ms + tokens / READ_TOKENS_A_MS
         return self._free_ms[name] - self.now_ms
 
-    def seek(self, stream: "Stream", action: SeekEndpoint) -> None:
+    def seek(self, stream: "Stream", action: RequestEndpoint) -> None:
         number = next(self._numbers)
         self._seeking[number] = stream
         request = PlacementRequest(
@@ -120,7 +120,7 @@
         for each in decisions:
             stream = self._seeking.pop(each.number)
             if isinstance(each, Grant):
-                stream.tell(Granted(each.endpoint_id))
+                stream.handle_event(EndpointGranted(each.endpoint_id))
 
 
 @define(eq=False)
@@ -138,16 +138,16 @@
             silence_ms=1e12,
             races=False,
             deaths_before_stop=9,
-            own_stream_tries=0,
+            reread_tries=0,
         )
-        expected = Expected("m", "", "")
+        expected = ExpectedModel("m", "", "")
         ledger = EventLedger()
         self.core = AnswerCore(f"r{self.number}", expected, policy, ledger)
 
     def begin(self, endpoint: str, copy: str) -> None:
         """It has a run with events at ``endpoint``, and maybe a copy elsewhere."""
         self.core.handle(Started(), 0.0)
-        self.core.handle(Granted(endpoint), 0.0)
+        self.core.handle(EndpointGranted(endpoint), 0.0)
         if copy:
             self.core.handle(CopyPlaced(1, copy), 0.0)
         self._extend(1)
@@ -157,16 +157,18 @@
 
     def _lose(self, endpoint: str, silent: bool) -> None:
         self.world.found_dead(endpoint)
-        event: Event = EndpointSilent(endpoint) if silent else AttemptEnded(1, Loss.CUT)
-        self.tell(event)
+        event: Event = (
+            EndpointStalled(endpoint) if silent else AttemptEnded(1, Loss.CUT)
+        )
+        self.handle_event(event)
 
-    def tell(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         for action in self.core.handle(event, self.world.now_ms):
             self._carry_out(action)
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case SeekEndpoint():
+            case RequestEndpoint():
                 self.world.seek(self, action)
             case OpenAttempt():
                 self._open(action)
@@ -187,7 +189,7 @@
 
     def _unreached(self, action: OpenAttempt) -> None:
         self.world.found_dead(action.endpoint_id)
-        self.tell(AttemptEnded(action.attempt, Loss.NOT_SENT))
+        self.handle_event(AttemptEnded(action.attempt, Loss.NOT_SENT))
 
     def _extend(self, number: int) -> None:
         attempt = self.core.attempts[number]
@@ -199,7 +201,7 @@
             self.core.handle(HeadArrived(number, head), self.world.now_ms)
         event = TokensArrived(number, label, position, [position + 1], [b""])
         if self.world.now_ms:
-            self.tell(event)
+            self.handle_event(event)
         else:
             self.core.handle(event, 0.0)
 
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -28,9 +28,9 @@
     Side,
     Tally,
 )
-from coursekeel.canary._judge import bad_answers, usual_limit
+from coursekeel.canary._judge import bad_answers, slow_bucket_limit
 from coursekeel.canary._tally import ROUTE_ROWS, latency_bucket
-from coursekeel.forwarding import StoreMoment
+from coursekeel.forwarding import StorePosition
 
 __all__ = ["JUDGES", "Case", "ThresholdJudge", "WindowJudge", "measure", "play"]
 
@@ -69,7 +69,7 @@
         for row in {number for number, _ in totals}:
             old = totals.get((row, Side.OLD), Tally())
             new = totals.get((row, Side.NEW), Tally())
-            limit = usual_limit(old)
+            limit = slow_bucket_limit(old)
             if new.answers >= 30 and old.answers >= 30:
                 usual = bad_answers(old, limit) / old.answers
                 share = bad_answers(new, limit) / new.answers
@@ -89,7 +89,7 @@
         before = self._seen[-8] if len(self._seen) >= 8 else {}
         for row in {number for number, _ in totals}:
             sides = []
-            limit = usual_limit(totals.get((row, Side.OLD), Tally()))
+            limit = slow_bucket_limit(totals.get((row, Side.OLD), Tally()))
             for side in Side:
                 key = row, side
                 now = totals.get(key, Tally())
@@ -163,25 +163,25 @@
 
 def play(case: Case, judge: Judge, random: Random) -> dict:
     """One roll-out to its end."""
-    conductor = Conductor(ORDER, StoreMoment(0, 1), BOUNDS, 0.0, judge)
+    conductor = Conductor(ORDER, StorePosition(0, 1), BOUNDS, 0.0, judge)
     fleet = _Fleet(case, random)
     now_ms, verdict_ms = 0.0, math.inf
     while now_ms < ORDER.duration_ms and not conductor.phase.final:
-        ruling = conductor.ruling("i", now_ms)
-        trying = ruling.phase is Phase.TRYING
+        decision = conductor.decision("i", now_ms)
+        trying = decision.phase is Phase.TRYING
         rows = tuple(fleet.tallies.items())
         late = now_ms >= ORDER.duration_ms / 3
         for _ in range(_drawn(case.rate_s * _PERIOD_MS / 1_000, random)):
-            new = not trying or random.random() < ruling.share
+            new = not trying or random.random() < decision.share
             fleet.answer(Side.NEW if new else Side.OLD, late)
         now_ms += _PERIOD_MS
-        conductor.report(
+        conductor.add_report(
             RolloutReport(
-                "i", "p", "v2", StoreMoment(0, 1), ruling.phase, now_ms, 1, 0, rows
+                "i", "p", "v2", StorePosition(0, 1), decision.phase, now_ms, 1, 0, rows
             ),
             now_ms,
         )
-        conductor.look(now_ms, leading=True, has_new=True)
+        conductor.evaluate(now_ms, leading=True, has_new=True)
         if conductor.phase is Phase.ROLLED_BACK:
             verdict_ms = now_ms
         elif conductor.phase is Phase.CLOSING:
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -15,13 +15,13 @@
     Route,
     RouteKind,
     RouteTable,
-    StoreMoment,
+    StorePosition,
 )
-from coursekeel.gateway import Versioned
+from coursekeel.gateway import VersionedEntry
 from coursekeel.gateway.members._reading_codec import (
-    ReadingEncoder,
-    RelayedReading,
-    decode_reading,
+    RelayedTableRead,
+    TableReadEncoder,
+    decode_table_read,
 )
 
 __all__ = ["measure"]
@@ -56,15 +56,15 @@
 
 
 def _row(routes: int) -> dict:
-    entries = (Versioned(_configuration(routes), StoreMoment(0, 7)),)
-    reading = RelayedReading(StoreMoment(0, 7), False, 0.0, 0.0, False, entries)
-    encoder = ReadingEncoder()
+    entries = (VersionedEntry(_configuration(routes), StorePosition(0, 7)),)
+    table_read = RelayedTableRead(StorePosition(0, 7), False, 0.0, 0.0, False, entries)
+    encoder = TableReadEncoder()
     started = time.process_time()
-    plain = encoder.encode(reading)
+    plain = encoder.encode(table_read)
     encoded = time.process_time()
-    told = gzip.compress(encoder.encode(reading), 1)
+    told = gzip.compress(encoder.encode(table_read), 1)
     compressed = time.process_time()
-    decoded_reading = decode_reading(plain)
+    decoded_reading = decode_table_read(plain)
     RouteTable(decoded_reading.entries[0].entry)
     decoded = time.process_time()
     return {
--- a/src/coursekeel/answers/_answer.py
+++ b/src/coursekeel/answers/_answer.py
@@ -10,32 +10,32 @@
 
 from typing import Any, Generic, Protocol, TypeVar
 
-from coursekeel.answers._attempt import Attempt, Expected
+from coursekeel.answers._attempt import Attempt, ExpectedModel
 from coursekeel.answers._attempts import AttemptSet
 from coursekeel.answers._events import (
     Action,
+    AnswerFenced,
     AttemptEnded,
     CancelAttempt,
     Cancelled,
     Complete,
     CopyPlaced,
     Deliver,
-    EndpointSilent,
+    EndpointGranted,
+    EndpointStalled,
     Event,
-    Fenced,
     FinishArrived,
-    Granted,
     HeadArrived,
-    NothingFree,
+    NoEndpointFree,
     ReadingResumed,
     RunState,
     Started,
-    StopWork,
+    StopSending,
     Tick,
     TokensArrived,
     Way,
 )
-from coursekeel.answers._ledger import Offer, OfferKind
+from coursekeel.answers._ledger import OfferOutcome, OfferResult
 from coursekeel.answers._policy import AnswerPolicy
 from coursekeel.answers._recovery import Recovery
 from coursekeel.charts import load_chart
@@ -52,7 +52,7 @@
     def next_position(self) -> int:
         """The position of the next piece."""
 
-    def offer(self, position: int, tokens: list[int], texts: list[Any]) -> Offer:
+    def offer(self, position: int, tokens: list[int], texts: list[Any]) -> OfferResult:
         """Append those pieces, from ``position`` on, that aren't held yet."""
 
 
@@ -67,7 +67,11 @@
     """
 
     def __init__(
-        self, label: str, expected: Expected, policy: AnswerPolicy, ledger: _LedgerT
+        self,
+        label: str,
+        expected: ExpectedModel,
+        policy: AnswerPolicy,
+        ledger: _LedgerT,
     ) -> None:
         self.label = label
         self.expected = expected
@@ -100,9 +104,9 @@
         return self.recovery.run_state
 
     @property
-    def bad_endpoints(self) -> frozenset[str]:
+    def excluded_endpoints(self) -> frozenset[str]:
         """Endpoints that lost or refused a run since the answer's last progress."""
-        return frozenset(self.recovery.bad_endpoints)
+        return frozenset(self.recovery.excluded_endpoints)
 
     def handle(self, event: Event, now_ms: float) -> list[Action]:
         """Handle one event and return the actions for the shell, in order."""
@@ -117,29 +121,29 @@
                 return self._handle_finish(event, now_ms)
             case AttemptEnded():
                 return self._handle_attempt_ended(event, now_ms)
-            case EndpointSilent():
+            case EndpointStalled():
                 return self._handle_endpoint_silent(event, now_ms)
             case Tick():
                 return self.recovery.handle_alarm(now_ms)
             case ReadingResumed():
                 return self._handle_reading_resumed(now_ms)
-            case Granted():
+            case EndpointGranted():
                 return self.recovery.use_endpoint(event.endpoint_id, now_ms)
             case CopyPlaced():
                 self._attempts.get(event.attempt).copy_id = event.endpoint_id
                 return []
-            case NothingFree():
+            case NoEndpointFree():
                 self._machine.feed("nothing_free")
                 self.recovery.retry_after_ms = event.retry_after_ms
                 return []
             case Started():
                 return self._handle_started(event, now_ms)
-            case Fenced():
+            case AnswerFenced():
                 self._machine.feed("fenced")
-                return [*self._attempts.cancel_all(stops_run=False), StopWork()]
+                return [*self._attempts.cancel_all(stops_run=False), StopSending()]
             case Cancelled():
                 self._machine.feed("cancelled")
-                return [*self._attempts.cancel_all(), StopWork()]
+                return [*self._attempts.cancel_all(), StopSending()]
 
     def withdraw(self) -> None:
         """End the answer because routing refused the request before it ran."""
@@ -189,13 +193,13 @@
         attempt.suspected = False
         offer = self.ledger.offer(event.position, event.tokens, event.texts)
         match offer.kind:
-            case OfferKind.EXTENDED:
+            case OfferOutcome.EXTENDED:
                 return self._handle_extension(attempt, now_ms)
-            case OfferKind.REPEATED:
+            case OfferOutcome.REPEATED:
                 return []
-            case OfferKind.GAP:
+            case OfferOutcome.GAP:
                 return self.recovery.reread_run(attempt, now_ms)
-            case OfferKind.DIVERGED:
+            case OfferOutcome.DIVERGED:
                 return self.recovery.drop_attempt(attempt, now_ms)
 
     def _handle_extension(self, winner: Attempt, now_ms: float) -> list[Action]:
@@ -234,7 +238,7 @@
     # Stalled endpoints.
 
     def _handle_endpoint_silent(
-        self, event: EndpointSilent, now_ms: float
+        self, event: EndpointStalled, now_ms: float
     ) -> list[Action]:
         stalled = [
             attempt
--- a/src/coursekeel/answers/_attempt.py
+++ b/src/coursekeel/answers/_attempt.py
@@ -5,11 +5,11 @@
 from coursekeel.answers._events import StreamHead, Way
 from coursekeel.charts import Machine, load_chart
 
-__all__ = ["Attempt", "Expected"]
+__all__ = ["Attempt", "ExpectedModel"]
 
 
 @define(frozen=True)
-class Expected:
+class ExpectedModel:
     """The model that a stream's head must name before its tokens are accepted."""
 
     model: str
@@ -68,7 +68,7 @@
         """Whether the stream's head arrived and was right."""
         return self.machine.state == "streaming"
 
-    def accept_head(self, head: StreamHead, expected: Expected) -> bool:
+    def accept_head(self, head: StreamHead, expected: ExpectedModel) -> bool:
         """Check the stream's head and return whether it is right.
 
         A wrong head drops the attempt.
--- a/src/coursekeel/answers/_events.py
+++ b/src/coursekeel/answers/_events.py
@@ -10,28 +10,28 @@
 
 __all__ = [
     "Action",
+    "AnswerFenced",
     "AttemptEnded",
     "CancelAttempt",
     "Cancelled",
     "Complete",
     "CopyPlaced",
     "Deliver",
-    "EndpointSilent",
+    "EndpointGranted",
+    "EndpointStalled",
     "Event",
-    "Fenced",
     "FinishArrived",
-    "Granted",
     "HeadArrived",
     "Interrupt",
     "Loss",
-    "NothingFree",
+    "NoEndpointFree",
     "OpenAttempt",
     "ReadingResumed",
+    "RequestEndpoint",
     "RunState",
-    "SeekEndpoint",
     "SetAlarm",
     "Started",
-    "StopWork",
+    "StopSending",
     "StreamHead",
     "Tick",
     "TokensArrived",
@@ -99,7 +99,7 @@
 
 
 @frozen
-class Granted:
+class EndpointGranted:
     """Routing chose an endpoint."""
 
     endpoint_id: str
@@ -114,7 +114,7 @@
 
 
 @frozen
-class NothingFree:
+class NoEndpointFree:
     """Routing has no free endpoint now; it may grant one until patience ends."""
 
     retry_after_ms: int
@@ -161,7 +161,7 @@
 
 
 @frozen
-class EndpointSilent:
+class EndpointStalled:
     """An endpoint stalled on all its streams, or doesn't respond."""
 
     endpoint_id: str
@@ -178,7 +178,7 @@
 
 
 @frozen
-class Fenced:
+class AnswerFenced:
     """Another entry owns the answer now."""
 
 
@@ -189,23 +189,23 @@
 
 Event = (
     Started
-    | Granted
+    | EndpointGranted
     | CopyPlaced
-    | NothingFree
+    | NoEndpointFree
     | HeadArrived
     | TokensArrived
     | FinishArrived
     | AttemptEnded
-    | EndpointSilent
+    | EndpointStalled
     | ReadingResumed
     | Tick
-    | Fenced
+    | AnswerFenced
     | Cancelled
 )
 
 
 @frozen
-class SeekEndpoint:
+class RequestEndpoint:
     """Request an endpoint from routing that isn't among ``excluded``.
 
     ``continuing`` says that the answer had an attempt before, and ``held_tokens`` how
@@ -269,7 +269,7 @@
 
 
 @frozen
-class StopWork:
+class StopSending:
     """This process must send nothing more of the answer."""
 
 
@@ -281,12 +281,12 @@
 
 
 Action = (
-    SeekEndpoint
+    RequestEndpoint
     | OpenAttempt
     | CancelAttempt
     | Deliver
     | Complete
     | Interrupt
-    | StopWork
+    | StopSending
     | SetAlarm
 )
--- a/src/coursekeel/answers/_journal.py
+++ b/src/coursekeel/answers/_journal.py
@@ -101,7 +101,7 @@
         """Include the answer ``key`` in segments from now on."""
         self._tracked[key] = _TrackedAnswer(ledger)
 
-    def runs_at(self, key: str, endpoint_id: str, run_id: str, label: str) -> None:
+    def set_run(self, key: str, endpoint_id: str, run_id: str, label: str) -> None:
         """Record which engine run generates the answer, for an entry that adopts it."""
         if key in self._tracked:
             tracked = self._tracked[key]
--- a/src/coursekeel/answers/_ledger.py
+++ b/src/coursekeel/answers/_ledger.py
@@ -12,14 +12,14 @@
 import xxhash
 from attrs import frozen
 
-__all__ = ["EventId", "Ledger", "Offer", "OfferKind", "digest_of"]
+__all__ = ["EventId", "Ledger", "OfferOutcome", "OfferResult", "digest_of"]
 
 # Array type codes: unsigned 32-bit integers.
 _TOKEN_TYPECODE = "I"
 _OFFSET_TYPECODE = "I"
 
 
-class OfferKind(Enum):
+class OfferOutcome(Enum):
     """How the ledger handled the tokens of an offer."""
 
     EXTENDED = "extended"
@@ -29,10 +29,10 @@
 
 
 @frozen
-class Offer:
+class OfferResult:
     """The result of `Ledger.offer`; ``added_tokens`` is 0 unless the ledger grew."""
 
-    kind: OfferKind
+    kind: OfferOutcome
     added_tokens: int = 0
 
 
@@ -100,7 +100,7 @@
             self.generation, len(self._tokens), self._rolling_digest.intdigest()
         )
 
-    def offer(self, position: int, tokens: list[int], texts: list[str]) -> Offer:
+    def offer(self, position: int, tokens: list[int], texts: list[str]) -> OfferResult:
         """Append those of the tokens from ``position`` on that aren't held yet.
 
         Tokens that are already held must be equal to the offered ones. Otherwise the
@@ -108,18 +108,18 @@
         """
         held = len(self._tokens)
         if position > held:
-            return Offer(OfferKind.GAP)
+            return OfferResult(OfferOutcome.GAP)
         repeated = min(held - position, len(tokens))
         if (
             repeated
             and self._tokens[position : position + repeated].tolist()
             != tokens[:repeated]
         ):
-            return Offer(OfferKind.DIVERGED)
+            return OfferResult(OfferOutcome.DIVERGED)
         if repeated == len(tokens):
-            return Offer(OfferKind.REPEATED)
+            return OfferResult(OfferOutcome.REPEATED)
         self._append(tokens[repeated:], texts[repeated:])
-        return Offer(OfferKind.EXTENDED, len(tokens) - repeated)
+        return OfferResult(OfferOutcome.EXTENDED, len(tokens) - repeated)
 
     def _append(self, tokens: list[int], texts: list[str]) -> None:
         new_tokens = array(_TOKEN_TYPECODE, tokens)
@@ -143,7 +143,7 @@
         cuts = self._offsets[position : last + 1]
         return [self._text[start:stop].decode() for start, stop in pairwise(cuts)]
 
-    def agrees_with(self, position: int, digest: int) -> bool:
+    def has_prefix(self, position: int, digest: int) -> bool:
         """Return whether the ledger's first ``position`` tokens have this digest."""
         if position > len(self._tokens):
             return False
@@ -157,7 +157,7 @@
             return self._rolling_digest.intdigest()
         return digest_of(self._tokens[:position])
 
-    def continued_as(self, generation: str) -> "Ledger":
+    def copy_as(self, generation: str) -> "Ledger":
         """Copy the ledger into a new generation, which continues after these tokens."""
         copy = Ledger(generation)
         copy._tokens.extend(self._tokens)
--- a/src/coursekeel/answers/_policy.py
+++ b/src/coursekeel/answers/_policy.py
@@ -16,8 +16,8 @@
     saves latency; cancelling it first saves engine work.
 
     An answer is interrupted after ``deaths_before_stop`` lost runs in a row, not
-    counting those before a run that streamed for ``sound_after_ms``. An engine's run is
-    read again up to ``own_stream_tries`` times before it counts as lost.
+    counting those before a run that streamed for ``reset_losses_after_ms``. An engine's
+    run is read again up to ``reread_tries`` times before it counts as lost.
     """
 
     patience_ms: int = 30_000
@@ -26,6 +26,6 @@
     silence_ms: float = 1_000
     races: bool = True
     deaths_before_stop: int = 3
-    sound_after_ms: float = 1_000
-    own_stream_tries: int = 2
+    reset_losses_after_ms: float = 1_000
+    reread_tries: int = 2
     retry_after_ms: int = 2_000
--- a/src/coursekeel/answers/_records.py
+++ b/src/coursekeel/answers/_records.py
@@ -6,7 +6,13 @@
 import cattrs
 from attrs import frozen
 
-__all__ = ["AnswerRecord", "PriorJournal", "RecordState", "answer_key", "owned_key"]
+__all__ = [
+    "AnswerRecord",
+    "PriorJournal",
+    "RecordState",
+    "answer_key",
+    "owner_index_key",
+]
 
 # Zero-padded so that keys sort by number. Stored keys contain it, so it can't change.
 _ORDER_DIGITS = 12
@@ -72,7 +78,7 @@
     @property
     def index_key(self) -> str:
         """The key of the row that lists the answer under its owner."""
-        return owned_key(self.owner, self.order)
+        return owner_index_key(self.owner, self.order)
 
     def to_row(self) -> dict[str, Any]:
         """The row's value as the table stores it."""
@@ -90,6 +96,6 @@
     return f"answers/{team}/{request_id}"
 
 
-def owned_key(owner: str, order: int) -> str:
+def owner_index_key(owner: str, order: int) -> str:
     """The key that lists an answer under its owner; keys sort oldest first."""
     return f"owned/{owner}/{order:0{_ORDER_DIGITS}d}"
--- a/src/coursekeel/answers/_recovery.py
+++ b/src/coursekeel/answers/_recovery.py
@@ -25,8 +25,8 @@
     CancelAttempt,
     Interrupt,
     Loss,
+    RequestEndpoint,
     RunState,
-    SeekEndpoint,
     SetAlarm,
     Way,
 )
@@ -40,16 +40,16 @@
 class Recovery:
     """Recovery of one answer.
 
-    ``position`` returns the ledger's next position. ``bad_endpoints`` lost or refused
-    a run of this answer since its last progress. ``lost_runs`` counts runs lost since
-    the last one that streamed for ``sound_after_ms``.
+    ``position`` returns the ledger's next position. ``excluded_endpoints`` lost or
+    refused a run of this answer since its last progress. ``lost_runs`` counts runs lost
+    since the last one that streamed for ``reset_losses_after_ms``.
     """
 
     policy: AnswerPolicy
     attempts: AttemptSet
     machine: Machine
     position: Callable[[], int]
-    bad_endpoints: set[str] = field(factory=set)
+    excluded_endpoints: set[str] = field(factory=set)
     lost_runs: int = 0
     waiting_since_ms: float | None = None
     retry_after_ms: int = field(init=False)
@@ -72,14 +72,14 @@
 
         ``streamed_ms`` is the time since the run's first piece. A request that crashes
         engines may stream some pieces before each crash, so ``lost_runs`` is reset only
-        once a run has streamed for ``sound_after_ms``.
+        once a run has streamed for ``reset_losses_after_ms``.
         """
         self.waiting_since_ms = None
         self._own_stream_tries = 0
-        if streamed_ms >= self.policy.sound_after_ms:
+        if streamed_ms >= self.policy.reset_losses_after_ms:
             self.lost_runs = 0
-        if self.bad_endpoints:
-            self.bad_endpoints.clear()
+        if self.excluded_endpoints:
+            self.excluded_endpoints.clear()
 
     # Opening attempts.
 
@@ -93,9 +93,9 @@
             return []
         self._seeking = True
         busy = {attempt.endpoint_id for attempt in self.attempts.live}
-        excluded = frozenset(self.bad_endpoints | busy)
+        excluded = frozenset(self.excluded_endpoints | busy)
         continuing = len(self.attempts) > 0
-        return [SeekEndpoint(excluded, continuing, self.position())]
+        return [RequestEndpoint(excluded, continuing, self.position())]
 
     def use_endpoint(self, endpoint_id: str, now_ms: float) -> list[Action]:
         """Open an attempt on the endpoint that routing granted.
@@ -137,7 +137,7 @@
 
         Its endpoint is avoided until the answer progresses.
         """
-        self.bad_endpoints.add(attempt.endpoint_id)
+        self.excluded_endpoints.add(attempt.endpoint_id)
         return [CancelAttempt(attempt.number), *self._seek_if_none_healthy(now_ms)]
 
     def reread_run(self, attempt: Attempt, now_ms: float) -> list[Action]:
@@ -159,12 +159,12 @@
         attempt.may_have_run = False
         if attempt.way is Way.OWN_STREAM:
             return self._handle_lost_run(attempt, now_ms)
-        self.bad_endpoints.add(attempt.endpoint_id)
+        self.excluded_endpoints.add(attempt.endpoint_id)
         return self._seek_if_none_healthy(now_ms)
 
     def _reread_or_recover(self, attempt: Attempt, now_ms: float) -> list[Action]:
         """Read the engine's own run again, or treat it as lost after too many tries."""
-        if not attempt.run_id or self._own_stream_tries >= self.policy.own_stream_tries:
+        if not attempt.run_id or self._own_stream_tries >= self.policy.reread_tries:
             return self._handle_lost_run(attempt, now_ms)
         self._own_stream_tries += 1
         self._mark_recovering(now_ms)
@@ -177,7 +177,7 @@
     def _handle_lost_run(self, attempt: Attempt, now_ms: float) -> list[Action]:
         """Count a lost run; interrupt the answer at the limit, otherwise resume it."""
         self.lost_runs += 1
-        self.bad_endpoints.add(attempt.endpoint_id)
+        self.excluded_endpoints.add(attempt.endpoint_id)
         if self.lost_runs >= self.policy.deaths_before_stop:
             return self._give_up("request_stops_engines", "unstoppable")
         return self._resume_from_copy_or_seek(attempt, now_ms)
@@ -190,7 +190,7 @@
         return self._open_copy(lost, now_ms)
 
     def _has_copy(self, attempt: Attempt) -> bool:
-        return bool(attempt.copy_id) and attempt.copy_id not in self.bad_endpoints
+        return bool(attempt.copy_id) and attempt.copy_id not in self.excluded_endpoints
 
     def _open_copy(self, attempt: Attempt, now_ms: float) -> list[Action]:
         # A pending grant will find this live attempt and open nothing.
@@ -219,7 +219,7 @@
     def suspect(self, attempt: Attempt, now_ms: float) -> list[Action]:
         """Suspect an attempt because it, or its whole endpoint, stalled."""
         attempt.suspected = True
-        self.bad_endpoints.add(attempt.endpoint_id)
+        self.excluded_endpoints.add(attempt.endpoint_id)
         if self.waiting_since_ms is None:
             self.waiting_since_ms = now_ms
         if self.policy.races:
--- a/src/coursekeel/calls/_call.py
+++ b/src/coursekeel/calls/_call.py
@@ -11,20 +11,20 @@
 from coursekeel.answers import RunState
 from coursekeel.calls._claims import ClaimRow, ClaimState
 from coursekeel.calls._messages import (
-    Begin,
     CallAction,
+    CallArrived,
     CallEvent,
     CallPolicy,
     CallReply,
-    ClaimAnswered,
-    ReadBack,
-    ReadBackAnswered,
+    ClaimRead,
+    ClaimWritten,
+    OutcomeRecorded,
+    ReadClaim,
     Record,
-    Recorded,
-    Reply,
-    Send,
+    SendCall,
     SendEnded,
     SendOutcome,
+    SendReply,
     WriteClaim,
 )
 from coursekeel.calls._reply import ServiceReply
@@ -70,15 +70,15 @@
     def handle(self, event: CallEvent) -> list[CallAction]:
         """Handle one event and return the actions for the shell, in order."""
         match event:
-            case Begin():
+            case CallArrived():
                 return self._begin()
-            case ClaimAnswered():
+            case ClaimWritten():
                 return self._handle_claim_answered(event.outcome)
-            case ReadBackAnswered():
+            case ClaimRead():
                 return self._handle_read_back(event.outcome)
             case SendEnded():
                 return self._handle_send_ended(event.outcome)
-            case Recorded():
+            case OutcomeRecorded():
                 return self._handle_recorded(event.outcome)
 
     def _begin(self) -> list[CallAction]:
@@ -97,34 +97,36 @@
                 return self._send()
             case Conflict():
                 self._machine.feed("claim_lost")
-                return [Reply(self._reply_of_first_call(outcome.rows.get(claim.key)))]
+                return [
+                    SendReply(self._reply_of_first_call(outcome.rows.get(claim.key)))
+                ]
             case Unsure():
                 self._machine.feed("claim_unsure")
-                return [ReadBack(claim.key)]
+                return [ReadClaim(claim.key)]
             case Unavailable():
                 self._machine.feed("claim_unavailable")
-                return [Reply(self._unknown_reply("store_unavailable"))]
+                return [SendReply(self._unknown_reply("store_unavailable"))]
 
     def _handle_read_back(self, outcome: Rows | Unavailable) -> list[CallAction]:
         claim = self._own_claim()
         if isinstance(outcome, Unavailable):
             self._machine.feed("claim_unavailable")
-            return [Reply(self._unknown_reply("store_unavailable"))]
+            return [SendReply(self._unknown_reply("store_unavailable"))]
         row = outcome.rows.get(claim.key)
         if row is None:
             # The claim's write may still take effect. Sending without the claim could
             # run the call twice.
             self._machine.feed("claim_unsure")
-            return [Reply(self._unknown_reply("claim_unsure"))]
+            return [SendReply(self._unknown_reply("claim_unsure"))]
         if row.value["attempt_id"] == claim.attempt_id:
             self._claim_version = row.version
             self._machine.feed("claim_won")
             return self._send()
         self._machine.feed("claim_lost")
-        return [Reply(self._reply_of_first_call(row))]
+        return [SendReply(self._reply_of_first_call(row))]
 
     def _send(self) -> list[CallAction]:
-        return [Send()]
+        return [SendCall()]
 
     def _handle_send_ended(
         self, outcome: ServiceReply | SendOutcome
@@ -191,11 +193,11 @@
         self._reply = reply
         if self.claim is None:
             self._machine.feed("recorded")
-            return [Reply(self._reply_without_claim(reply))]
+            return [SendReply(self._reply_without_claim(reply))]
         record = Record(self.claim.settled(reply.run, reply.reply), self._claim_version)
         if reply.run is RunState.NOT_RUN:
             return [record]
-        return [Reply(reply), record]
+        return [SendReply(reply), record]
 
     def _reply_without_claim(self, reply: CallReply) -> CallReply:
         """Report a keyed call's refusal as unknown: another entry may have run it."""
@@ -210,8 +212,8 @@
         if reply is None or reply.run is not RunState.NOT_RUN:
             return []
         if isinstance(outcome, Committed):
-            return [Reply(reply)]
-        return [Reply(self._unknown_reply("store_unavailable"))]
+            return [SendReply(reply)]
+        return [SendReply(self._unknown_reply("store_unavailable"))]
 
     def _reply_of_first_call(self, row: Row | None) -> CallReply:
         """The reply to a call whose key was claimed first by the call in ``row``."""
--- a/src/coursekeel/calls/_messages.py
+++ b/src/coursekeel/calls/_messages.py
@@ -10,20 +10,20 @@
 from coursekeel.storage import Rows, TransactOutcome, Unavailable
 
 __all__ = [
-    "Begin",
     "CallAction",
+    "CallArrived",
     "CallEvent",
     "CallPolicy",
     "CallReply",
-    "ClaimAnswered",
-    "ReadBack",
-    "ReadBackAnswered",
+    "ClaimRead",
+    "ClaimWritten",
+    "OutcomeRecorded",
+    "ReadClaim",
     "Record",
-    "Recorded",
-    "Reply",
-    "Send",
+    "SendCall",
     "SendEnded",
     "SendOutcome",
+    "SendReply",
     "WriteClaim",
 ]
 
@@ -56,19 +56,19 @@
 
 
 @frozen
-class Begin:
+class CallArrived:
     """The caller's request arrived."""
 
 
 @frozen
-class ClaimAnswered:
+class ClaimWritten:
     """The claim's write ended, perhaps without a known outcome."""
 
     outcome: TransactOutcome
 
 
 @frozen
-class ReadBackAnswered:
+class ClaimRead:
     """The claim's row was read after a write of unknown outcome."""
 
     outcome: Rows | Unavailable
@@ -82,13 +82,13 @@
 
 
 @frozen
-class Recorded:
+class OutcomeRecorded:
     """The write of the call's outcome ended."""
 
     outcome: TransactOutcome
 
 
-CallEvent = Begin | ClaimAnswered | ReadBackAnswered | SendEnded | Recorded
+CallEvent = CallArrived | ClaimWritten | ClaimRead | SendEnded | OutcomeRecorded
 
 
 @frozen
@@ -99,14 +99,14 @@
 
 
 @frozen
-class ReadBack:
+class ReadClaim:
     """Read the row under the key."""
 
     key: str
 
 
 @frozen
-class Send:
+class SendCall:
     """Send the call, to an endpoint that wasn't tried yet if possible."""
 
 
@@ -133,10 +133,10 @@
 
 
 @frozen
-class Reply:
+class SendReply:
     """Send the reply to the caller."""
 
     reply: CallReply
 
 
-CallAction = WriteClaim | ReadBack | Send | Record | Reply
+CallAction = WriteClaim | ReadClaim | SendCall | Record | SendReply
--- a/src/coursekeel/canary/__init__.py
+++ b/src/coursekeel/canary/__init__.py
@@ -3,14 +3,14 @@
 from coursekeel.canary._conductor import CONDUCTORS, Conductor
 from coursekeel.canary._judge import Judge, SequentialJudge
 from coursekeel.canary._messages import (
-    CANARY_MARK,
+    ROLLOUT_PREFIX,
+    RolloutDecision,
     RolloutMessage,
     RolloutReport,
-    Ruling,
     UnreadableRollout,
     decode_rollout,
+    encode_decision,
     encode_report,
-    encode_ruling,
 )
 from coursekeel.canary._model import (
     CanaryBounds,
@@ -29,8 +29,8 @@
 from coursekeel.canary._tally import Evidence, RowKey, Tally, row_for_route
 
 __all__ = [
-    "CANARY_MARK",
     "CONDUCTORS",
+    "ROLLOUT_PREFIX",
     "CanaryBounds",
     "Conductor",
     "Evidence",
@@ -39,6 +39,7 @@
     "PoolRollout",
     "RecordConflict",
     "RecordFailed",
+    "RolloutDecision",
     "RolloutMessage",
     "RolloutOrder",
     "RolloutRecord",
@@ -47,14 +48,13 @@
     "RolloutState",
     "Rollouts",
     "RowKey",
-    "Ruling",
     "SequentialJudge",
     "Side",
     "Tally",
     "UnreadableRollout",
     "decode_rollout",
+    "encode_decision",
     "encode_report",
-    "encode_ruling",
     "order_id",
     "pool_of_order",
     "row_for_route",
--- a/src/coursekeel/canary/_conductor.py
+++ b/src/coursekeel/canary/_conductor.py
@@ -19,7 +19,7 @@
 from attrs import define, field, frozen
 
 from coursekeel.canary._judge import Judge, SequentialJudge
-from coursekeel.canary._messages import RolloutReport, Ruling
+from coursekeel.canary._messages import RolloutDecision, RolloutReport
 from coursekeel.canary._model import (
     CanaryBounds,
     Phase,
@@ -29,7 +29,7 @@
 )
 from coursekeel.canary._tally import Evidence
 from coursekeel.charts import Machine, load_chart
-from coursekeel.forwarding import StoreMoment
+from coursekeel.forwarding import StorePosition
 
 __all__ = ["CONDUCTORS", "Conductor"]
 
@@ -65,13 +65,13 @@
 class Conductor:
     """One member's control of one order's rollout.
 
-    ``moment`` is the order's store position. ``began_ms`` is when the order was given,
-    which may be before this process started. ``reason`` says why the version was rolled
-    back, for the log.
+    ``position`` is the order's store position. ``began_ms`` is when the order was
+    given, which may be before this process started. ``reason`` says why the version was
+    rolled back, for the log.
     """
 
     order: RolloutOrder
-    moment: StoreMoment
+    position: StorePosition
     bounds: CanaryBounds
     began_ms: float
     judge: Judge = field(factory=SequentialJudge)
@@ -85,7 +85,7 @@
         """The current phase."""
         return Phase(self._machine.state)
 
-    def report(self, report: RolloutReport, now_ms: float) -> None:
+    def add_report(self, report: RolloutReport, now_ms: float) -> None:
         """Add an instance's report of this order."""
         self.began_ms = min(self.began_ms, now_ms - report.elapsed_ms)
         self._states[report.sender] = _InstanceState(report.phase, report.old_runs)
@@ -93,7 +93,7 @@
         if report.phase is Phase.ROLLED_BACK:
             self._roll_back("reported")
 
-    def look(self, now_ms: float, leading: bool, has_new: bool) -> None:
+    def evaluate(self, now_ms: float, leading: bool, has_new: bool) -> None:
         """Judge the version by the reports so far, and move to the next phase if due.
 
         ``leading`` says that this member is the first conductor, ``has_new`` that the
@@ -114,7 +114,7 @@
             self._machine.feed("condemned")
             self.reason = reason
 
-    def wanted(self, now_ms: float, members: Collection[str]) -> RolloutState:
+    def desired_state(self, now_ms: float, members: Collection[str]) -> RolloutState:
         """The state that the record should have now; ``members`` are those alive."""
         if self.phase is Phase.ROLLED_BACK:
             return RolloutState.ROLLED_BACK
@@ -134,30 +134,32 @@
             for state in states
         )
 
-    def recorded(self, state: RolloutState) -> None:
+    def state_written(self, state: RolloutState) -> None:
         """Handle that this member wrote the state to the record."""
         if state is RolloutState.COMPLETED and self._machine.takes(
             "recorded_completed"
         ):
             self._machine.feed("recorded_completed")
 
-    def found(self, state: RolloutState) -> None:
+    def adopt_final_state(self, state: RolloutState) -> None:
         """Adopt a final state that another member recorded or decided."""
         chart_input = f"found_{state.value}"
         if state is not RolloutState.RUNNING and self._machine.takes(chart_input):
             self._machine.feed(chart_input)
             self.reason = self.reason or "recorded"
 
-    def ruling(self, own: str, now_ms: float, in_force: tuple[str, ...] = ()) -> Ruling:
+    def decision(
+        self, own: str, now_ms: float, in_force: tuple[str, ...] = ()
+    ) -> RolloutDecision:
         """The decision to send to all instances; ``own`` is this member.
 
         The versions ``in_force`` are those before the order.
         """
-        return Ruling(
+        return RolloutDecision(
             own,
             self.order.pool,
             self.order.target,
-            self.moment,
+            self.position,
             self.phase,
             self._share(now_ms),
             self._elapsed_ms(now_ms),
--- a/src/coursekeel/canary/_judge.py
+++ b/src/coursekeel/canary/_judge.py
@@ -22,7 +22,7 @@
 from coursekeel.canary._model import Side
 from coursekeel.canary._tally import ROUTE_ROWS, RowKey, Tally
 
-__all__ = ["Judge", "SequentialJudge", "bad_answers", "usual_limit"]
+__all__ = ["Judge", "SequentialJudge", "bad_answers", "slow_bucket_limit"]
 
 # The shares of the old version's good answers that a worse version makes bad. Large
 # effects are found after few answers.
@@ -53,7 +53,7 @@
         """
 
 
-def usual_limit(old: Tally) -> int | None:
+def slow_bucket_limit(old: Tally) -> int | None:
     """The bucket above which an answer is slow; None if there are too few answers."""
     good = old.answers - old.failed
     if good < _MIN_GOOD_ANSWERS:
@@ -145,10 +145,10 @@
     def condemns(self, totals: Mapping[RowKey, Tally]) -> bool:
         """See `Judge.condemns`."""
         all_old, all_new = _Counts(), _Counts()
-        common_limit = usual_limit(_total_of_side(totals, Side.OLD))
+        common_limit = slow_bucket_limit(_total_of_side(totals, Side.OLD))
         for row in {number for number, _ in totals}:
             # A row with few answers uses the limit of all rows.
-            limit = usual_limit(totals.get((row, Side.OLD), Tally()))
+            limit = slow_bucket_limit(totals.get((row, Side.OLD), Tally()))
             limit = common_limit if limit is None else limit
             old = self._take_increase(totals, (row, Side.OLD), limit)
             new = self._take_increase(totals, (row, Side.NEW), limit)
--- a/src/coursekeel/canary/_messages.py
+++ b/src/coursekeel/canary/_messages.py
@@ -14,23 +14,23 @@
 
 from coursekeel.canary._model import Phase, Side
 from coursekeel.canary._tally import ROUTE_ROWS, RowKey, Tally
-from coursekeel.forwarding import StoreMoment
+from coursekeel.forwarding import StorePosition
 from coursekeel.group import MAX_MESSAGE_BYTES
 from coursekeel.strict import faults_of, message_converter
 
 __all__ = [
-    "CANARY_MARK",
+    "ROLLOUT_PREFIX",
+    "RolloutDecision",
     "RolloutMessage",
     "RolloutReport",
-    "Ruling",
     "UnreadableRollout",
     "decode_rollout",
+    "encode_decision",
     "encode_report",
-    "encode_ruling",
 ]
 
 # Neither JSON objects nor messages of the quarantine begin with this letter.
-CANARY_MARK = b"V"
+ROLLOUT_PREFIX = b"V"
 _MAX_FAULT_CHARACTERS = 200
 _BUCKETS = len(Tally().latencies)
 
@@ -38,10 +38,10 @@
 
 
 @frozen
-class Ruling:
+class RolloutDecision:
     """A conductor's decision on a rollout, which all instances apply.
 
-    ``moment`` is the order's store position, ``share`` the new version's share of new
+    ``position`` is the order's store position, ``share`` the new version's share of new
     requests in the phase `TRYING`, ``elapsed_ms`` the time since the order. The
     versions ``in_force`` before it are for instances that started later; empty if the
     conductor isn't sure of them.
@@ -50,7 +50,7 @@
     sender: str
     pool: str
     target: str
-    moment: StoreMoment
+    position: StorePosition
     phase: Phase
     share: float
     elapsed_ms: float
@@ -68,7 +68,7 @@
     sender: str
     pool: str
     target: str
-    moment: StoreMoment
+    position: StorePosition
     phase: Phase
     elapsed_ms: float
     process_incarnation: int
@@ -76,7 +76,7 @@
     rows: tuple[RowTally, ...]
 
 
-RolloutMessage = Ruling | RolloutReport
+RolloutMessage = RolloutDecision | RolloutReport
 
 
 @frozen
@@ -119,10 +119,10 @@
 _CONVERTER = message_converter(_RowForm, _Form)
 
 
-def encode_ruling(group: str, ruling: Ruling) -> bytes:
+def encode_decision(group: str, decision: RolloutDecision) -> bytes:
     """Encode a decision as a datagram."""
-    form = _form(group, ruling)
-    return _datagram(evolve(form, share=ruling.share, in_force=ruling.in_force))
+    form = _form(group, decision)
+    return _datagram(evolve(form, share=decision.share, in_force=decision.in_force))
 
 
 def encode_report(group: str, report: RolloutReport) -> Iterator[bytes]:
@@ -145,14 +145,14 @@
 
 
 def _form(group: str, message: RolloutMessage) -> _Form:
-    moment = message.moment
+    position = message.position
     return _Form(
         group,
         message.sender,
         message.pool,
         message.target,
-        moment.era,
-        moment.version,
+        position.era,
+        position.version,
         message.phase.value,
         round(message.elapsed_ms, 1),
     )
@@ -161,7 +161,7 @@
 def _datagram(form: _Form, rows: Iterable[bytes] = ()) -> bytes:
     fields = attrs.asdict(form, filter=_is_set)
     fields["rows"] = [orjson.Fragment(row) for row in rows]
-    return CANARY_MARK + orjson.dumps(fields)
+    return ROLLOUT_PREFIX + orjson.dumps(fields)
 
 
 def _is_set(_field: Any, value: Any) -> bool:
@@ -175,13 +175,13 @@
 
 
 def decode_rollout(data: bytes) -> tuple[str, RolloutMessage] | UnreadableRollout:
-    """Decode a datagram that begins with `CANARY_MARK`: its group and its message."""
+    """Decode a datagram of `ROLLOUT_PREFIX`: its group and its message."""
     if len(data) > MAX_MESSAGE_BYTES:
         return UnreadableRollout(
             f"got {len(data)} bytes, expected at most {MAX_MESSAGE_BYTES}"
         )
     try:
-        value = orjson.loads(data.removeprefix(CANARY_MARK))
+        value = orjson.loads(data.removeprefix(ROLLOUT_PREFIX))
         form = _CONVERTER.structure(value, _Form)
         return form.group, _message_from_form(form)
     except Exception as failure:  # invalid data from a peer must not raise
@@ -190,13 +190,13 @@
 
 
 def _message_from_form(form: _Form) -> RolloutMessage:
-    moment, phase = StoreMoment(form.era, form.version), Phase(form.phase)
+    position, phase = StorePosition(form.era, form.version), Phase(form.phase)
     if form.share is not None:
-        return Ruling(
+        return RolloutDecision(
             form.sender,
             form.pool,
             form.target,
-            moment,
+            position,
             phase,
             min(max(form.share, 0.0), 1.0),
             max(form.elapsed_ms, 0.0),
@@ -206,7 +206,7 @@
         form.sender,
         form.pool,
         form.target,
-        moment,
+        position,
         phase,
         max(form.elapsed_ms, 0.0),
         form.life,
--- a/src/coursekeel/canary/_model.py
+++ b/src/coursekeel/canary/_model.py
@@ -12,7 +12,7 @@
 
 from attrs import frozen
 
-from coursekeel.forwarding import StoreMoment
+from coursekeel.forwarding import StorePosition
 
 __all__ = [
     "CanaryBounds",
@@ -112,9 +112,9 @@
 
     state: RolloutState | None
     target: str
-    moment: StoreMoment
+    moment: StorePosition
 
-    def answers(self, order: RolloutOrder, order_position: StoreMoment) -> bool:
+    def is_for(self, order: RolloutOrder, order_position: StorePosition) -> bool:
         """Say whether the record is of this order, and newer than the order."""
         return self.target == order.target and self.moment > order_position
 
--- a/src/coursekeel/canary/_rollouts.py
+++ b/src/coursekeel/canary/_rollouts.py
@@ -23,10 +23,10 @@
 import xxhash
 from attrs import define, field
 
-from coursekeel.canary._messages import RolloutReport, Ruling
+from coursekeel.canary._messages import RolloutDecision, RolloutReport
 from coursekeel.canary._model import CanaryBounds, Phase, RolloutOrder, Side
 from coursekeel.canary._tally import RowKey, Tally, row_for_route
-from coursekeel.forwarding import EndpointRecord, StoreMoment
+from coursekeel.forwarding import EndpointRecord, StorePosition
 
 __all__ = ["PoolRollout", "Rollouts"]
 
@@ -43,13 +43,13 @@
 class PoolRollout:
     """One pool's rollout as this instance applies it.
 
-    ``moment`` is the order's store position, ``began_ms`` when it was given, and
+    ``position`` is the order's store position, ``began_ms`` when it was given, and
     ``decided_ms`` when the last decision on ``share`` arrived. ``lost_ms`` is when each
     endpoint's last counted loss of a run was, by endpoint id.
     """
 
     order: RolloutOrder
-    moment: StoreMoment
+    position: StorePosition
     began_ms: float
     phase: Phase = Phase.TRYING
     share: float = 0.0
@@ -58,13 +58,15 @@
     lost_ms: dict[str, float] = field(factory=dict)
 
     @property
-    def tried_pool(self) -> str:
+    def canary_pool(self) -> str:
         """The pool name of the new endpoints in routing, during the rollout."""
         return f"{self.order.pool}@{self.order.target}"
 
-    def accepts(self, ruling: Ruling) -> bool:
+    def accepts(self, decision: RolloutDecision) -> bool:
         """Say whether a decision is of this order, not of an earlier one."""
-        return ruling.target == self.order.target and ruling.moment >= self.moment
+        return (
+            decision.target == self.order.target and decision.position >= self.position
+        )
 
 
 @define(eq=False)
@@ -82,7 +84,7 @@
     _in_force: dict[str, set[str]] = field(factory=dict)
     _guessed_in_force: set[str] = field(factory=set)
     _withdrawn_versions: dict[str, set[str]] = field(factory=dict)
-    _orders_position: StoreMoment | None = None
+    _orders_position: StorePosition | None = None
     _version_of: dict[str, str] = field(factory=dict)
     _new_endpoints: dict[str, list[str]] = field(factory=dict)
     _old_endpoints: dict[str, list[str]] = field(factory=dict)
@@ -98,32 +100,32 @@
 
     # Orders.
 
-    def ordered(
-        self, order: RolloutOrder, moment: StoreMoment, now_ms: float
+    def set_order(
+        self, order: RolloutOrder, position: StorePosition, now_ms: float
     ) -> PoolRollout | None:
         """Begin an order's rollout; None if the order is already applied.
 
-        ``moment`` is its store position. The same order, written again after a restore
-        of the store (a later era), doesn't begin again.
+        ``position`` is its store position. The same order, written again after a
+        restore of the store (a later era), doesn't begin again.
         """
         known = self.by_pool.get(order.pool)
         if known is not None and known.order == order:
-            same = known.moment.era < moment.era or not known.phase.final
-            if same or moment <= known.moment:
-                known.moment = max(known.moment, moment)
+            same = known.position.era < position.era or not known.phase.final
+            if same or position <= known.position:
+                known.position = max(known.position, position)
                 return None
-        rollout = PoolRollout(order, moment, now_ms)
+        rollout = PoolRollout(order, position, now_ms)
         self.by_pool[order.pool] = rollout
         self._in_force.setdefault(order.pool, set())
         self._withdrawn_versions.get(order.pool, set()).discard(order.target)
         return rollout
 
-    def withdrawn(self, kept: Iterable[str]) -> None:
+    def withdraw_all_except(self, kept: Iterable[str]) -> None:
         """Withdraw the orders of all pools but those in ``kept``."""
         for pool in set(self.by_pool) - set(kept):
-            self.withdrawn_one(pool)
+            self.withdraw(pool)
 
-    def withdrawn_one(self, pool: str) -> None:
+    def withdraw(self, pool: str) -> None:
         """Withdraw a pool's order.
 
         Its version gets nothing more, unless it was in force before or was completed.
@@ -136,12 +138,12 @@
         if rollout.order.target not in self._in_force[pool]:
             self._withdrawn_versions.setdefault(pool, set()).add(rollout.order.target)
 
-    def orders_read(self, moment: StoreMoment) -> bool:
+    def set_orders_position(self, position: StorePosition) -> bool:
         """Note that all orders up to a store position were read.
 
         Returns whether endpoints wait for that; the caller then calls `split` again.
         """
-        self._orders_position = moment
+        self._orders_position = position
         return self._endpoints_waiting
 
     # Endpoints.
@@ -149,7 +151,7 @@
     def split(
         self,
         pools: dict[str, list[str]],
-        record_of: Callable[[str], tuple[EndpointRecord, StoreMoment]],
+        record_of: Callable[[str], tuple[EndpointRecord, StorePosition]],
     ) -> dict[str, list[str]]:
         """The endpoints that may serve, by the pool name that routing uses.
 
@@ -171,7 +173,7 @@
         return split
 
     def _split_without_order(
-        self, pool: str, versions: dict[str, str], positions: dict[str, StoreMoment]
+        self, pool: str, versions: dict[str, str], positions: dict[str, StorePosition]
     ) -> list[str]:
         in_force, read_until = (
             self._in_force.setdefault(pool, set()),
@@ -206,8 +208,11 @@
             return {pool: new}
         if not old or (rollout.phase is Phase.CLOSING and new):
             # Where the old version has no endpoint left only the new one can serve.
-            return {pool: new, rollout.tried_pool: new}
-        return {pool: old, rollout.tried_pool: self._select_new(rollout, new, len(old))}
+            return {pool: new, rollout.canary_pool: new}
+        return {
+            pool: old,
+            rollout.canary_pool: self._select_new(rollout, new, len(old)),
+        }
 
     def _select_new(self, rollout: PoolRollout, new: list[str], old: int) -> list[str]:
         count = max(math.ceil(self.bounds.share * old), _MIN_NEW_ENDPOINTS)
@@ -232,11 +237,11 @@
             return pool
         if now_ms - rollout.decided_ms > _DECISION_VALID_PERIODS * self.period_ms():
             return pool
-        if self.random.random() >= rollout.share or not has_room(rollout.tried_pool):
+        if self.random.random() >= rollout.share or not has_room(rollout.canary_pool):
             return pool
-        return rollout.tried_pool
+        return rollout.canary_pool
 
-    def may_have(self, endpoint: EndpointRecord) -> bool:
+    def may_receive(self, endpoint: EndpointRecord) -> bool:
         """Say whether the endpoint may get requests now."""
         rollout = self.by_pool.get(endpoint.pool)
         if rollout is None:
@@ -246,7 +251,7 @@
             return not new
         return new or rollout.phase is Phase.TRYING or not self.has_new(endpoint.pool)
 
-    def ordered_version(self, endpoint_id: str) -> str:
+    def version_in_rollout(self, endpoint_id: str) -> str:
         """The endpoint's version if its pool has an order, else an empty string."""
         if not self.by_pool:
             return ""
@@ -254,7 +259,7 @@
         sides = (*self._old_endpoints.values(), *self._new_endpoints.values())
         return version if any(endpoint_id in side for side in sides) else ""
 
-    def ended(
+    def count_end(
         self,
         pool: str,
         route: str,
@@ -292,32 +297,32 @@
 
     # Decisions and reports.
 
-    def heard(self, ruling: Ruling, now_ms: float) -> bool:
+    def apply_decision(self, decision: RolloutDecision, now_ms: float) -> bool:
         """Apply a conductor's decision; True if other endpoints may serve now."""
-        rollout = self.by_pool.get(ruling.pool)
-        if rollout is None or not rollout.accepts(ruling):
+        rollout = self.by_pool.get(decision.pool)
+        if rollout is None or not rollout.accepts(decision):
             return False
-        rollout.began_ms = min(rollout.began_ms, now_ms - ruling.elapsed_ms)
-        changed = self._adopt_in_force(ruling)
-        if ruling.phase is Phase.TRYING:
-            rollout.share, rollout.decided_ms = ruling.share, now_ms
-        if ruling.phase.rank <= rollout.phase.rank:
+        rollout.began_ms = min(rollout.began_ms, now_ms - decision.elapsed_ms)
+        changed = self._adopt_in_force(decision)
+        if decision.phase is Phase.TRYING:
+            rollout.share, rollout.decided_ms = decision.share, now_ms
+        if decision.phase.rank <= rollout.phase.rank:
             return changed
-        rollout.phase = ruling.phase
+        rollout.phase = decision.phase
         return True
 
-    def _adopt_in_force(self, ruling: Ruling) -> bool:
+    def _adopt_in_force(self, decision: RolloutDecision) -> bool:
         """Replace the versions in force by the decision's, if they were only guessed.
 
         An instance that started after the order has to guess them.
         """
-        if ruling.pool not in self._guessed_in_force or not ruling.in_force:
+        if decision.pool not in self._guessed_in_force or not decision.in_force:
             return False
-        self._guessed_in_force.discard(ruling.pool)
-        self._in_force[ruling.pool] = set(ruling.in_force)
+        self._guessed_in_force.discard(decision.pool)
+        self._in_force[decision.pool] = set(decision.in_force)
         return True
 
-    def known_in_force(self, pool: str) -> tuple[str, ...]:
+    def confirmed_in_force(self, pool: str) -> tuple[str, ...]:
         """The versions in force before a pool's order; empty if they are a guess."""
         if pool in self._guessed_in_force:
             return ()
@@ -332,7 +337,7 @@
             own,
             pool,
             rollout.order.target,
-            rollout.moment,
+            rollout.position,
             rollout.phase,
             now_ms - rollout.began_ms,
             self.process_incarnation,
--- a/src/coursekeel/endpoints/__init__.py
+++ b/src/coursekeel/endpoints/__init__.py
@@ -10,11 +10,10 @@
     Unreachable,
 )
 from coursekeel.endpoints._evidence import EvidenceBook, LeavingMark
-from coursekeel.endpoints._orders import EndpointFacts, LoadPacer, Order, orders_due
+from coursekeel.endpoints._orders import LoadPacer, Order, ServedState, orders_due
 from coursekeel.endpoints._silence import SilenceSettings, SilenceWatch
 
 __all__ = [
-    "EndpointFacts",
     "EndpointStatus",
     "EngineAdapter",
     "EngineStream",
@@ -24,6 +23,7 @@
     "LoadPacer",
     "Order",
     "OrderOutcome",
+    "ServedState",
     "SilenceSettings",
     "SilenceWatch",
     "StreamListener",
--- a/src/coursekeel/endpoints/_adapter.py
+++ b/src/coursekeel/endpoints/_adapter.py
@@ -127,7 +127,7 @@
         """Start a run and stream it to the listener."""
 
     @abstractmethod
-    def take_up(
+    def reattach(
         self, run_id: str, position: int, listener: StreamListener
     ) -> EngineStream:
         """Stream a run that the engine already has, from token ``position`` on."""
@@ -140,11 +140,13 @@
         """
 
     @abstractmethod
-    async def status(self, anew: bool = False) -> EndpointStatus | Unreachable:
+    async def status(
+        self, new_connection: bool = False
+    ) -> EndpointStatus | Unreachable:
         """Query the endpoint's status.
 
-        ``anew`` opens a new connection: a kept one may just have been closed, which
-        does not mean that the endpoint failed.
+        ``new_connection`` opens a new connection: a kept one may just have been closed,
+        which does not mean that the endpoint failed.
         """
 
     @abstractmethod
--- a/src/coursekeel/endpoints/_evidence.py
+++ b/src/coursekeel/endpoints/_evidence.py
@@ -46,7 +46,7 @@
     fresh_ms: float
     _evidence: dict[str, _Evidence] = field(factory=dict)
 
-    def saw(
+    def record_status(
         self, endpoint_id: str, incarnation: str, leaving: bool, asked_ms: float
     ) -> bool:
         """Record the endpoint's own status, which was requested at ``asked_ms``.
@@ -74,7 +74,7 @@
             evidence.machine.feed("returned")
         evidence.incarnation = incarnation
 
-    def listed(self, endpoint_id: str, leaving: bool) -> None:
+    def record_listed(self, endpoint_id: str, leaving: bool) -> None:
         """Record the platform list's state, which only counts against the endpoint."""
         evidence = self._evidence.setdefault(endpoint_id, _Evidence())
         evidence.listed_leaving = leaving
@@ -82,14 +82,14 @@
             evidence.marked.add(evidence.incarnation)
             evidence.machine.feed("seen_leaving")
 
-    def hinted(self, mark: LeavingMark) -> None:
+    def record_mark(self, mark: LeavingMark) -> None:
         """Record another entry's report that an incarnation is leaving."""
         evidence = self._evidence.setdefault(mark.endpoint_id, _Evidence())
         evidence.marked.add(mark.incarnation)
         if mark.incarnation == evidence.incarnation:
             evidence.machine.feed("seen_leaving")
 
-    def lost(self, endpoint_id: str) -> None:
+    def record_refused(self, endpoint_id: str) -> None:
         """Record a refused connection: no new work until the next status."""
         evidence = self._evidence.setdefault(endpoint_id, _Evidence())
         evidence.seen_ms = float("-inf")
--- a/src/coursekeel/endpoints/_http_engine.py
+++ b/src/coursekeel/endpoints/_http_engine.py
@@ -200,7 +200,7 @@
         stream.start(agent.request(b"POST", self._url("/generate"), _JSON, body))
         return stream
 
-    def take_up(
+    def reattach(
         self, run_id: str, position: int, listener: StreamListener
     ) -> EngineStream:
         """Stream a run that the engine already has, from token ``position`` on."""
@@ -213,9 +213,11 @@
         """Request that the engine stop a run."""
         await self._call("DELETE", f"/streams/{run_id}", None)
 
-    async def status(self, anew: bool = False) -> EndpointStatus | Unreachable:
-        """Query the endpoint's status; ``anew`` opens a new connection."""
-        fetcher = self._unpooled_fetcher if anew else self._fetcher
+    async def status(
+        self, new_connection: bool = False
+    ) -> EndpointStatus | Unreachable:
+        """Query the endpoint's status; ``new_connection`` opens a new connection."""
+        fetcher = self._unpooled_fetcher if new_connection else self._fetcher
         reply = await self._call("GET", "/status", None, fetcher=fetcher)
         if isinstance(reply, Unreachable):
             return reply
--- a/src/coursekeel/endpoints/_orders.py
+++ b/src/coursekeel/endpoints/_orders.py
@@ -18,7 +18,7 @@
 )
 from coursekeel.units import MS_PER_MINUTE
 
-__all__ = ["EndpointFacts", "LoadPacer", "Order", "OrderKind", "orders_due"]
+__all__ = ["LoadPacer", "Order", "OrderKind", "ServedState", "orders_due"]
 
 
 class OrderKind(Enum):
@@ -45,7 +45,7 @@
 
 
 @frozen
-class EndpointFacts:
+class ServedState:
     """What an endpoint serves and how many requests it has, by its latest status."""
 
     serves: tuple[ModelName, ...]
@@ -54,7 +54,7 @@
 
 
 def orders_due(
-    configuration: Configuration, facts: dict[str, EndpointFacts]
+    configuration: Configuration, facts: dict[str, ServedState]
 ) -> list[Order]:
     """The orders that bring the endpoints to the configuration.
 
--- a/src/coursekeel/endpoints/_silence.py
+++ b/src/coursekeel/endpoints/_silence.py
@@ -54,7 +54,7 @@
     _review_due_ms: float | None = None
     slow_downs: int = 0
 
-    def opened(self, endpoint_id: str, now_ms: float) -> None:
+    def add_stream(self, endpoint_id: str, now_ms: float) -> None:
         """Count a stream that sent its first token."""
         activity = self._activity.setdefault(endpoint_id, _Activity(now_ms))
         if activity.streams == 0:
@@ -62,14 +62,14 @@
             activity.reported = False
         activity.streams += 1
 
-    def closed(self, endpoint_id: str) -> None:
-        """Count a stream off that was counted by `opened`."""
+    def remove_stream(self, endpoint_id: str) -> None:
+        """Count a stream off that was counted by `add_stream`."""
         activity = self._activity[endpoint_id]
         activity.streams -= 1
         if activity.streams == 0:
             activity.usual_gap_ms = 0.0
 
-    def heard(self, endpoint_id: str, now_ms: float) -> None:
+    def record_tokens(self, endpoint_id: str, now_ms: float) -> None:
         """Record tokens on any of the endpoint's streams."""
         activity = self._activity.get(endpoint_id)
         if activity is None:
@@ -79,7 +79,7 @@
         activity.last_token_ms = now_ms
         activity.reported = False
 
-    def review(self, now_ms: float, next_ms: float) -> list[str]:
+    def newly_silent(self, now_ms: float, next_ms: float) -> list[str]:
         """The endpoints that fell silent since the last review, each named once.
 
         ``next_ms`` is when the next review is due; a review that is late judges none.
--- a/src/coursekeel/entry/_calls_task.py
+++ b/src/coursekeel/entry/_calls_task.py
@@ -10,22 +10,22 @@
 from twisted.internet.task import deferLater
 
 from coursekeel.calls import (
-    Begin,
     CallAction,
+    CallArrived,
     CallCore,
     CallEvent,
     CallPolicy,
     CallReply,
-    ClaimAnswered,
+    ClaimRead,
     ClaimRow,
-    ReadBack,
-    ReadBackAnswered,
+    ClaimWritten,
+    OutcomeRecorded,
+    ReadClaim,
     Record,
-    Recorded,
-    Reply,
-    Send,
+    SendCall,
     SendEnded,
     SendOutcome,
+    SendReply,
     ServiceReply,
     WriteClaim,
     claim_key,
@@ -168,7 +168,7 @@
         )
 
     async def _run(self, core: CallCore, run: _CallRun) -> None:
-        actions = core.handle(Begin())
+        actions = core.handle(CallArrived())
         while actions:
             events: list[CallEvent] = []
             for action in actions:
@@ -180,14 +180,14 @@
     async def _carry_out(self, action: CallAction, run: _CallRun) -> CallEvent | None:
         match action:
             case WriteClaim():
-                return ClaimAnswered(await self._write_claim(action.row))
-            case ReadBack():
-                return ReadBackAnswered(await self.platform.read([action.key]))
-            case Send():
+                return ClaimWritten(await self._write_claim(action.row))
+            case ReadClaim():
+                return ClaimRead(await self.platform.read([action.key]))
+            case SendCall():
                 return SendEnded(await self._send(run))
             case Record():
-                return Recorded(await self._record_outcome(action))
-            case Reply():
+                return OutcomeRecorded(await self._record_outcome(action))
+            case SendReply():
                 run.send_reply(action.reply)
                 return None
 
@@ -231,7 +231,7 @@
             return await self._send_to(decision.endpoint_id, run, deadline_ms)
         finally:
             run_ms = self.clock.now_ms() - started_ms
-            self.routing.released(decision.endpoint_id, run_ms)
+            self.routing.release(decision.endpoint_id, run_ms)
 
     def _find_endpoint(self, run: _CallRun, deadline_ms: float) -> "Deferred[Decision]":
         request = run.request
@@ -273,7 +273,7 @@
         )
         match outcome:
             case HttpReply():
-                self.gate.proved_sound(request)
+                self.gate.report_success(request)
                 return ServiceReply(outcome.status, outcome.content_type, outcome.body)
             case NotReached():
                 return SendOutcome.NOT_SENT
--- a/src/coursekeel/entry/_entry.py
+++ b/src/coursekeel/entry/_entry.py
@@ -145,7 +145,7 @@
             self.platform,
             self.settings.platform.timeout_ms,
             lambda: self.peers.book.names,
-            lambda name, news: self.peers.tell_suspects(name, news),
+            lambda name, news: self.peers.send_suspects(name, news),
         )
         self.watch = EndpointWatch(
             self.reactor,
@@ -165,7 +165,7 @@
             settings.instance_id,
             self.incarnation,
             self._fenced,
-            lambda keys: self.registry.journal_gained(keys),
+            lambda keys: self.registry.on_journal_progress(keys),
             self.configuration.lease_stored,
             lambda: f"{settings.peer.host}:{self.peers.port}",
         )
@@ -177,7 +177,7 @@
             self.metrics,
             self._engine,
             lambda task: self.registry.ended(task),
-            lambda task, name, head: self.registry.run_known(task, name, head),
+            lambda task, name, head: self.registry.on_run_opened(task, name, head),
             self.suspects.gate,
             self.watch,
             settings.limits.caller_lead_tokens,
@@ -361,10 +361,10 @@
     def _endpoint_silent(self, endpoint_id: str) -> None:
         for task in list(self.registry.tasks.values()):
             if not task.ended:
-                task.endpoint_silent(endpoint_id)
+                task.endpoint_stalled(endpoint_id)
 
     def _entry_addresses_listed(self, addresses: dict[str, str]) -> None:
-        self.peers.book.listed(addresses)
+        self.peers.book.set_listed(addresses)
 
     def _listed_entry_ids(self) -> list[str]:
         listed = self.endpoints.listed.values()
@@ -382,8 +382,8 @@
     def _fenced(self) -> None:
         """Drop the durable answers and begin a new incarnation: the lease is lost."""
         self.incarnation = f"{self.settings.instance_id}~{uuid4().hex[:8]}"
-        self.journal.begin_again(self.incarnation)
-        self.registry.incarnation_lost()
+        self.journal.start_incarnation(self.incarnation)
+        self.registry.on_lease_lost()
 
     def _greeting(self) -> Greeting:
         marks = self.endpoints.evidence.leaving_marks()[:_MAX_MARKS_PER_GREETING]
@@ -399,7 +399,7 @@
 
     def _greeting_received(self, greeting: Greeting) -> None:
         self.configuration.revision_seen(greeting.seen_revision)
-        self.suspects.heard_digest(greeting.instance_id, greeting.suspects_digest)
+        self.suspects.receive_digest(greeting.instance_id, greeting.suspects_digest)
         self.endpoints.add_leaving_marks(
             [LeavingMark(m.endpoint_id, m.incarnation) for m in greeting.marks]
         )
--- a/src/coursekeel/entry/answers/_adoption_task.py
+++ b/src/coursekeel/entry/answers/_adoption_task.py
@@ -108,8 +108,8 @@
             key = row.key
             if row.value["incarnation"] == self.registry.journal.incarnation:
                 continue
-            self._watch.saw(key, row.version, now_ms)
-            if self._watch.lapsed(key):
+            self._watch.record_version(key, row.version, now_ms)
+            if self._watch.is_lapsed(key):
                 await self._seal(row)
 
     async def _seal(self, row: Row) -> bool:
@@ -258,7 +258,7 @@
         journal: JournalReader,
         orphan: Row,
     ) -> None:
-        ledger = journal.ledger.continued_as(self.registry.generation_name())
+        ledger = journal.ledger.copy_as(self.registry.generation_name())
         adopted_record = self._adopted_record(record, journal, ledger, orphan)
         outcome = await self.platform.transact(
             Transaction(
--- a/src/coursekeel/entry/answers/_answer_placement.py
+++ b/src/coursekeel/entry/answers/_answer_placement.py
@@ -8,7 +8,7 @@
 
 from attrs import define, evolve
 
-from coursekeel.answers import OpenAttempt, SeekEndpoint, Way
+from coursekeel.answers import OpenAttempt, RequestEndpoint, Way
 from coursekeel.entry.answers._requests import GenerationRequest
 from coursekeel.routing import Decision, Grant, PlacementRequest
 from coursekeel.runtime import Clock, RoutingTask
@@ -28,7 +28,7 @@
     _granted_endpoint_id: str = ""
 
     def search(
-        self, action: SeekEndpoint, on_decided: Callable[[Decision], None]
+        self, action: RequestEndpoint, on_decided: Callable[[Decision], None]
     ) -> None:
         """Request an engine; ``on_decided`` is called once unless stopped."""
         self._search_number = None
@@ -44,7 +44,7 @@
         if self._granted_endpoint_id == "":
             self._search_number = search_number
 
-    def _placement_request(self, action: SeekEndpoint) -> PlacementRequest:
+    def _placement_request(self, action: RequestEndpoint) -> PlacementRequest:
         request = self.request
         remaining_tokens = max(request.max_tokens - action.held_tokens, 1)
         return PlacementRequest(
@@ -72,7 +72,7 @@
         """Return a granted slot that no attempt uses."""
         if self._granted_endpoint_id:
             endpoint_id, self._granted_endpoint_id = self._granted_endpoint_id, ""
-            self.routing.returned(endpoint_id, self.request.prompt_tokens)
+            self.routing.return_unused(endpoint_id, self.request.prompt_tokens)
 
     def may_use(self, action: OpenAttempt) -> bool:
         """Whether the attempt's engine may run it.
@@ -91,7 +91,7 @@
         Returns whether the attempt holds a slot, which must be released with it.
         """
         if action.way is Way.COPY:
-            self.routing.router.sent_to_copy(action.endpoint_id)
+            self.routing.router.count_run_at_copy(action.endpoint_id)
             return True
         holds_slot = (
             action.way is Way.PREFILL
@@ -102,12 +102,14 @@
         return holds_slot
 
     def choose_copy_endpoint(
-        self, action: OpenAttempt, bad_endpoints: frozenset[str]
+        self, action: OpenAttempt, excluded_endpoints: frozenset[str]
     ) -> str:
         """Choose the endpoint to keep a copy of the run; empty if there is none."""
         if self._last_request is None:
             return ""
-        excluded = self._last_request.excluded | bad_endpoints
+        excluded = self._last_request.excluded | excluded_endpoints
         copy_request = evolve(self._last_request, excluded=excluded)
         endpoints = self.routing.router.endpoints
-        return endpoints.for_copy(copy_request, action.endpoint_id, self.clock.now_ms())
+        return endpoints.choose_for_copy(
+            copy_request, action.endpoint_id, self.clock.now_ms()
+        )
--- a/src/coursekeel/entry/answers/_answer_registry.py
+++ b/src/coursekeel/entry/answers/_answer_registry.py
@@ -9,10 +9,10 @@
 
 from coursekeel.answers import (
     AnswerCore,
+    AnswerFenced,
     AnswerRecord,
     Cancelled,
-    Expected,
-    Fenced,
+    ExpectedModel,
     Ledger,
     RecordState,
     Started,
@@ -98,14 +98,14 @@
         if request.policy.durable:
             self._begin_storing(task)
         if not (request.policy.durable and request.keyed):
-            task.tell(Started())
+            task.handle_event(Started())
         return task
 
     def _create_task(self, request: GenerationRequest, ledger: Ledger) -> AnswerTask:
         key = answer_key(request.team.name, request.request_id)
         label = f"{request.team.name}/{request.request_id}/{ledger.generation}"
         serves = request.model.serves
-        expected = Expected(serves.model, serves.adapter, serves.version)
+        expected = ExpectedModel(serves.model, serves.adapter, serves.version)
         core = AnswerCore(label, expected, request.policy.answer_policy(), ledger)
         task = AnswerTask(request, core, self.ports)
         if request.policy.durable:
@@ -154,8 +154,8 @@
 
     def _start_unstored(self, task: AnswerTask) -> None:
         """Start although the store has not confirmed yet that the id is new."""
-        if task.core.state == "waiting" and not task.begun and not task.ended:
-            task.tell(Started())
+        if task.core.state == "waiting" and not task.has_started and not task.ended:
+            task.handle_event(Started())
 
     async def _store_request(self, task: AnswerTask, durable: _Durable) -> None:
         """Store the prompt and the row, with retries until it succeeds."""
@@ -192,8 +192,8 @@
     def _on_stored(self, task: AnswerTask, durable: _Durable) -> None:
         self._release_prompt_bytes(durable)
         task.stored = True
-        if not task.begun and not task.ended:
-            task.tell(Started())
+        if not task.has_started and not task.ended:
+            task.handle_event(Started())
         task.wake_followers()
         if task.core.ended:
             self._spawn_store_end(task)
@@ -209,7 +209,7 @@
         self.fence(durable.record.key, stops_run=True)
         await self.store.drop_prompt(durable.record)
 
-    async def until_stored(self, task: AnswerTask) -> bool:
+    async def wait_until_stored(self, task: AnswerTask) -> bool:
         """Wait about 3 s for the request to be stored; say whether it is."""
         for _ in range(_STORED_POLLS):
             if task.stored:
@@ -224,7 +224,7 @@
     def give_up(self, task: AnswerTask) -> None:
         """Cancel the answer for its caller or an operator."""
         if not task.ended:
-            task.tell(Cancelled())
+            task.handle_event(Cancelled())
 
     # Adoption.
 
@@ -243,7 +243,7 @@
         task = self._create_task(request, ledger)
         self._durable[record.key] = _Durable(record, version)
         task.stored = True
-        task.tell(started)
+        task.handle_event(started)
         return task
 
     def next_order(self) -> int:
@@ -268,10 +268,10 @@
         task.gone = True
         task.fenced = not stops_run
         task.end_unstored = False
-        task.tell(Cancelled() if stops_run else Fenced())
+        task.handle_event(Cancelled() if stops_run else AnswerFenced())
         task.wake_followers()
 
-    def incarnation_lost(self) -> None:
+    def on_lease_lost(self) -> None:
         """Fence the stored answers after this incarnation lost its lease.
 
         Answers that were never stored continue under the new incarnation. Answers whose
@@ -296,14 +296,16 @@
 
     # Callbacks of tasks.
 
-    def run_known(self, task: AnswerTask, endpoint_id: str, head: StreamHead) -> None:
+    def on_run_opened(
+        self, task: AnswerTask, endpoint_id: str, head: StreamHead
+    ) -> None:
         """Add an opened run to the journal, so that an adopter can continue it."""
         key = self._key(task)
         if key in self._durable:
             writer = self.journal.writer
-            writer.runs_at(key, endpoint_id, head.run_id, head.label)
+            writer.set_run(key, endpoint_id, head.run_id, head.label)
 
-    def journal_gained(self, keys: list[str]) -> None:
+    def on_journal_progress(self, keys: list[str]) -> None:
         """Wake the readers of these answers, or of all if ``keys`` is empty."""
         for key in keys or list(self._durable):
             task = self.tasks.get(key)
@@ -317,7 +319,7 @@
 
     def _cancel_if_unread(self, task: AnswerTask) -> None:
         if not task.followers and not task.stored and not task.ended:
-            task.tell(Cancelled())
+            task.handle_event(Cancelled())
 
     def ended(self, task: AnswerTask) -> None:
         """Count and store the end of an answer, and remove it later."""
--- a/src/coursekeel/entry/answers/_answer_task.py
+++ b/src/coursekeel/entry/answers/_answer_task.py
@@ -19,20 +19,20 @@
     Complete,
     CopyPlaced,
     Deliver,
-    EndpointSilent,
+    EndpointGranted,
+    EndpointStalled,
     Event,
-    Granted,
     HeadArrived,
     Interrupt,
     Ledger,
     Loss,
-    NothingFree,
+    NoEndpointFree,
     OpenAttempt,
     ReadingResumed,
+    RequestEndpoint,
     RunState,
-    SeekEndpoint,
     Started,
-    StopWork,
+    StopSending,
     StreamHead,
     TokensArrived,
     Way,
@@ -116,7 +116,7 @@
     refusal: Refusal | None = None
     gone: bool = False
     fenced: bool = False
-    begun: bool = False
+    has_started: bool = False
     end_unstored: bool = False
     followers: list[Follower[Any]] = field(factory=list)
     arrived_ms: float = field(init=False)
@@ -195,18 +195,18 @@
 
     # Events.
 
-    def tell(self, event: Event, now_ms: float | None = None) -> None:
+    def handle_event(self, event: Event, now_ms: float | None = None) -> None:
         """Pass an event to the core and carry out the resulting actions.
 
         ``now_ms`` is the current time, if the caller has already read the clock.
         """
         if isinstance(event, Started):
-            self.begun = True
-        self._driver.tell(event, now_ms)
+            self.has_started = True
+        self._driver.handle_event(event, now_ms)
 
-    def event_taken(self, event: Event, actions: list[Action]) -> None:
+    def event_handled(self, event: Event, actions: list[Action]) -> None:
         """Return a granted slot that the core did not use."""
-        if isinstance(event, Granted):
+        if isinstance(event, EndpointGranted):
             self._placement.return_slot()
 
     def handle_head(self, attempt: int, head: StreamHead) -> None:
@@ -215,7 +215,7 @@
         if opened is not None:
             opened.run_id = head.run_id
             opened.head_ms = self.ports.clock.now_ms()
-        self.tell(HeadArrived(attempt, head))
+        self.handle_event(HeadArrived(attempt, head))
         if attempt in self._open_streams and not self.ended:
             self.ports.on_run_opened(
                 self, self._open_streams[attempt].endpoint_id, head
@@ -230,15 +230,15 @@
         if opened.first_tokens_ms is None:
             self._note_first_tokens(opened, now_ms)
         else:
-            self.ports.silence.heard(opened.endpoint_id, now_ms)
-        self.tell(event, now_ms)
+            self.ports.silence.record_tokens(opened.endpoint_id, now_ms)
+        self.handle_event(event, now_ms)
 
     def _note_first_tokens(self, opened: OpenStream, now_ms: float) -> None:
         opened.first_tokens_ms = now_ms
-        self.ports.silence.opened(opened.endpoint_id, now_ms)
+        self.ports.silence.add_stream(opened.endpoint_id, now_ms)
         if opened.holds_slot:
             router = self.ports.routing.router
-            router.succeeded(opened.endpoint_id, self.request.policy.name)
+            router.record_success(opened.endpoint_id, self.request.policy.name)
 
     def handle_stream_end(self, attempt: int, loss: Loss) -> None:
         """Handle the end of an attempt's stream."""
@@ -246,26 +246,26 @@
         if opened is not None:
             if loss is Loss.REFUSED:
                 now_ms = self.ports.clock.now_ms()
-                self.ports.routing.router.turned_away(opened.endpoint_id, now_ms)
+                self.ports.routing.router.record_refusal(opened.endpoint_id, now_ms)
             elif loss is not Loss.NOT_SENT and opened.begins:
                 self._report_lost_run(opened)
             self._release_attempt(attempt)
         if not self.core.ended:
-            self.tell(AttemptEnded(attempt, loss))
+            self.handle_event(AttemptEnded(attempt, loss))
 
     def _report_lost_run(self, opened: OpenStream) -> None:
         now_ms = self.ports.clock.now_ms()
         ran_ms = None if opened.head_ms is None else now_ms - opened.head_ms
-        gave_ms = (
+        streamed_ms = (
             None if opened.first_tokens_ms is None else now_ms - opened.first_tokens_ms
         )
-        sign = sign_of(ran_ms, gave_ms)
+        sign = sign_of(ran_ms, streamed_ms)
         self.ports.watch.run_lost(self.request, opened.endpoint_id, sign, engine=True)
 
-    def endpoint_silent(self, endpoint_id: str) -> None:
+    def endpoint_stalled(self, endpoint_id: str) -> None:
         """Handle the report that an endpoint has stalled on all its streams."""
         if not self._driver.reading_held:
-            self.tell(EndpointSilent(endpoint_id))
+            self.handle_event(EndpointStalled(endpoint_id))
 
     # Actions.
 
@@ -274,14 +274,14 @@
         match action:
             case Deliver():
                 self._on_delivered(now_ms)
-            case SeekEndpoint():
+            case RequestEndpoint():
                 self._search_engine(action)
             case OpenAttempt():
                 self._open_attempt(action)
             case CancelAttempt():
                 self._cancel_attempt(action)
             case Complete():
-                self.ports.gate.proved_sound(self.request)
+                self.ports.gate.report_success(self.request)
                 self._close()
             case Interrupt():
                 self.refusal = Refusal(
@@ -292,14 +292,14 @@
                     action.held_tokens,
                 )
                 self._close()
-            case StopWork():
+            case StopSending():
                 self._close()
 
     def _on_delivered(self, now_ms: float) -> None:
         self._metrics.record_delivery(now_ms)
         self.wake_followers()
 
-    def _search_engine(self, action: SeekEndpoint) -> None:
+    def _search_engine(self, action: RequestEndpoint) -> None:
         self._metrics.note_resumption(action.held_tokens)
         self._placement.search(action, self._on_decision)
 
@@ -311,12 +311,12 @@
                 self._reported_run_state(self.core.run_state),
                 decision.retry_after_ms,
             )
-            self.tell(NothingFree(decision.retry_after_ms))
+            self.handle_event(NoEndpointFree(decision.retry_after_ms))
             self._refused_by_routing()
         elif self.ended:
             self._placement.return_slot()
         else:
-            self.tell(Granted(decision.endpoint_id))
+            self.handle_event(EndpointGranted(decision.endpoint_id))
 
     def _reported_run_state(self, run: RunState) -> RunState:
         """The run state to report to the caller.
@@ -340,14 +340,14 @@
         engine = self.ports.engine(action.endpoint_id)
         if engine is None or not self._placement.may_use(action):
             self._placement.return_slot()
-            self.tell(AttemptEnded(action.attempt, Loss.NOT_SENT))
+            self.handle_event(AttemptEnded(action.attempt, Loss.NOT_SENT))
             return
         holds_slot = self._placement.take_slot(action)
         self._metrics.record_attempt(action)
         listener = AttemptListener(self, action.attempt)
         if action.way is Way.OWN_STREAM:
             position = action.from_position
-            stream = engine.take_up(action.run_id, position, listener)
+            stream = engine.reattach(action.run_id, position, listener)
         else:
             order = self._order(action, self._choose_copy_engine(action))
             stream = engine.open(order, listener)
@@ -370,19 +370,19 @@
             math.ceil(self._quarantine_pass.barred_ms),
             self.ledger.next_position,
         )
-        self.tell(Cancelled())
+        self.handle_event(Cancelled())
 
     def _choose_copy_engine(self, action: OpenAttempt) -> str:
         """Choose an engine to keep a copy of this run; return its address or empty."""
         if not self.ports.copies:
             return ""
         copy_endpoint_id = self._placement.choose_copy_endpoint(
-            action, self.core.bad_endpoints
+            action, self.core.excluded_endpoints
         )
         engine = self.ports.engine(copy_endpoint_id)
         if engine is None:
             return ""
-        self.tell(CopyPlaced(action.attempt, copy_endpoint_id))
+        self.handle_event(CopyPlaced(action.attempt, copy_endpoint_id))
         return engine.address
 
     def _order(self, action: OpenAttempt, copy_to: str) -> GenerationOrder:
@@ -420,10 +420,10 @@
     def _release_attempt(self, attempt: int) -> None:
         opened = self._open_streams.pop(attempt)
         if opened.first_tokens_ms is not None:
-            self.ports.silence.closed(opened.endpoint_id)
+            self.ports.silence.remove_stream(opened.endpoint_id)
         if opened.holds_slot:
             run_ms = self.ports.clock.now_ms() - opened.opened_ms
-            self.ports.routing.released(opened.endpoint_id, run_ms)
+            self.ports.routing.release(opened.endpoint_id, run_ms)
 
     # Back pressure.
 
@@ -447,7 +447,7 @@
             else:
                 opened.stream.resume()
         if not hold:
-            self.tell(ReadingResumed())
+            self.handle_event(ReadingResumed())
 
     # End of the answer.
 
--- a/src/coursekeel/entry/answers/_follower.py
+++ b/src/coursekeel/entry/answers/_follower.py
@@ -101,7 +101,7 @@
         if 0 < missing <= _MAX_MISSING_TOKENS and not self.task.ended:
             return False
         self.held = None
-        if ledger.agrees_with(held.position, held.digest):
+        if ledger.has_prefix(held.position, held.digest):
             self.cursor = held.position
         else:
             self.sink.restart(ledger.generation)
@@ -124,7 +124,7 @@
     def _send_moved(self) -> None:
         self.over = True
         if self.task.fenced:
-            self.sink.come_back()
+            self.sink.redirect_caller()
         else:
             self.sink.moved()
         self.task.remove_follower(self)
--- a/src/coursekeel/entry/answers/_journal_task.py
+++ b/src/coursekeel/entry/answers/_journal_task.py
@@ -296,7 +296,7 @@
         available meanwhile.
         """
         self._outage.awake(self.clock.now_ms())
-        counts = self._outage.outage_counts or not self.held
+        counts = self._outage.outage_is_conclusive or not self.held
         if not self.store_out:
             log_event("store_out", output_goes_on=counts)
         self.store_out = True
@@ -304,7 +304,7 @@
             self._may_send_until_ms = requested_ms + self.timers.lease_ms
             self.on_progress([])
 
-    def begin_again(self, incarnation: str) -> None:
+    def start_incarnation(self, incarnation: str) -> None:
         """Start a new incarnation with an empty journal."""
         self.incarnation = incarnation
         self.writer = JournalWriter(incarnation)
--- a/src/coursekeel/entry/answers/_open_stream.py
+++ b/src/coursekeel/entry/answers/_open_stream.py
@@ -14,7 +14,7 @@
     """Interface of an answer for its attempts' streams."""
 
     @abstractmethod
-    def tell(self, event: Event, now_ms: float | None = None) -> None:
+    def handle_event(self, event: Event, now_ms: float | None = None) -> None:
         """Handle an event; ``now_ms`` is the current time if already read."""
 
     @abstractmethod
@@ -70,7 +70,7 @@
 
     def finish(self, run_id: str, position: int, reason: str) -> None:
         """Handle the engine's finish marker."""
-        self._owner.tell(FinishArrived(self._attempt, run_id, position, reason))
+        self._owner.handle_event(FinishArrived(self._attempt, run_id, position, reason))
 
     def ended(self, loss: Loss) -> None:
         """Handle the end of the stream, with or without a finish marker."""
--- a/src/coursekeel/entry/answers/_reader.py
+++ b/src/coursekeel/entry/answers/_reader.py
@@ -102,7 +102,7 @@
         ended: Deferred[None] = Deferred()
         self._following_ended = ended
         follower = Follower(task, self.sink, self.sink.held)
-        self.sink.guard_by(task)
+        self.sink.set_sending_right(task)
         self._follower = follower
         self.sink.wake = lambda: self._resume(follower)
         self.sink.source_moved = lambda: self._stop_following(ended)
@@ -132,7 +132,7 @@
     # Answers of other entries.
 
     async def _read_elsewhere(self) -> _ReadOutcome:
-        self.sink.guard_by(None)
+        self.sink.set_sending_right(None)
         found = await self.ports.registry.store.read(self.team, self.request_id)
         if isinstance(found, Unavailable) or found is None:
             return await self._relay_from_former_owner(store_out=found is not None)
--- a/src/coursekeel/entry/answers/_relay.py
+++ b/src/coursekeel/entry/answers/_relay.py
@@ -17,7 +17,7 @@
 from coursekeel.entry.answers._answer_task import AnswerTask
 from coursekeel.entry.answers._follower import Follower
 from coursekeel.entry.answers._sinks import (
-    HELD_LOOK_S,
+    HELD_OUTPUT_POLL_S,
     AnswerSink,
     Refusal,
     SendingRight,
@@ -44,7 +44,7 @@
         self._replies: asyncio.Queue[Any] = asyncio.Queue()
         self._over = False
 
-    def guard_by(self, right: SendingRight | None) -> None:
+    def set_sending_right(self, right: SendingRight | None) -> None:
         """Do nothing: `serve_follow` checks the lease as it sends each reply."""
 
     @property
@@ -91,7 +91,7 @@
         )
         self._over = True
 
-    def come_back(self) -> None:
+    def redirect_caller(self) -> None:
         """Make the peer look up the answer's owner again for its reader."""
         self.moved()
 
@@ -163,7 +163,7 @@
                 0 if math.isinf(lease_left_ms) else math.ceil(lease_left_ms)
             )
             return reply
-        await asyncio.sleep(HELD_LOOK_S)
+        await asyncio.sleep(HELD_OUTPUT_POLL_S)
     return peer_pb2.FollowReply(found=True, moved=True)
 
 
--- a/src/coursekeel/entry/answers/_sinks.py
+++ b/src/coursekeel/entry/answers/_sinks.py
@@ -6,11 +6,11 @@
 
 from coursekeel.answers import EventId, RunState
 
-__all__ = ["HELD_LOOK_S", "AnswerSink", "Refusal", "SendingRight"]
+__all__ = ["HELD_OUTPUT_POLL_S", "AnswerSink", "Refusal", "SendingRight"]
 
 # Interval of checks for a lapsed lease while output waits for it. Each check also
 # starts a renewal.
-HELD_LOOK_S = 0.05
+HELD_OUTPUT_POLL_S = 0.05
 
 
 @frozen
@@ -50,11 +50,11 @@
 class AnswerSink(ABC):
     """Receives one answer.
 
-    The last call is `finish`, `refuse`, `come_back` or `moved`.
+    The last call is `finish`, `refuse`, `redirect_caller` or `moved`.
     """
 
     @abstractmethod
-    def guard_by(self, right: SendingRight | None) -> None:
+    def set_sending_right(self, right: SendingRight | None) -> None:
         """Send all further output only while ``right`` allows it; None is no limit."""
 
     @property
@@ -83,7 +83,7 @@
         """Report that the answer won't be completed."""
 
     @abstractmethod
-    def come_back(self) -> None:
+    def redirect_caller(self) -> None:
         """End the stream: another entry took the answer over, the reader must retry."""
 
     @abstractmethod
--- a/src/coursekeel/entry/control/_configuration_task.py
+++ b/src/coursekeel/entry/control/_configuration_task.py
@@ -13,7 +13,7 @@
     Plan,
     Rollout,
     Stale,
-    StoreSilent,
+    StoreUnavailable,
     UnknownPlan,
     make_plan,
 )
@@ -97,7 +97,7 @@
         if isinstance(configuration, Unavailable):
             await self._read_from_peers_if_behind()
             return
-        self.isolation.reached(request_ms)
+        self.isolation.record_response(request_ms)
         self._apply(configuration)
         # Only a read that began after the lease was stored makes the instance ready:
         # the rollout of any later change then finds the lease and waits for it.
@@ -124,22 +124,22 @@
 
     async def plan(
         self, intent: Intent, known_endpoints: frozenset[str], running: dict[str, int]
-    ) -> Plan | StoreSilent:
+    ) -> Plan | StoreUnavailable:
         """Make and store a plan against the newest configuration.
 
         ``running`` is the number of requests of each endpoint. Raises `RequestInvalid`.
         """
         configuration = await self._store.read()
         if isinstance(configuration, Unavailable):
-            return StoreSilent(False, configuration.reason)
+            return StoreUnavailable(False, configuration.reason)
         self._apply(configuration)
         plan = make_plan(str(uuid4()), intent, configuration, known_endpoints, running)
         outcome = await self._store.keep(plan)
-        return outcome if isinstance(outcome, StoreSilent) else plan
+        return outcome if isinstance(outcome, StoreUnavailable) else plan
 
     async def confirm(
         self, plan_id: str, known_stopped: frozenset[str]
-    ) -> Confirmed | Stale | StoreSilent | UnknownPlan:
+    ) -> Confirmed | Stale | StoreUnavailable | UnknownPlan:
         """Commit a plan; its rollout doesn't wait for ``known_stopped`` entries."""
         outcome = await self._store.confirm(plan_id)
         if isinstance(outcome, Confirmed):
--- a/src/coursekeel/entry/control/_endpoints_task.py
+++ b/src/coursekeel/entry/control/_endpoints_task.py
@@ -5,11 +5,11 @@
 from attrs import define, field
 
 from coursekeel.endpoints import (
-    EndpointFacts,
     EndpointStatus,
     EngineAdapter,
     EvidenceBook,
     LeavingMark,
+    ServedState,
     SilenceSettings,
     SilenceWatch,
 )
@@ -45,7 +45,7 @@
     on_entries_listed: Callable[[dict[str, str]], None]
     evidence: EvidenceBook = field(init=False)
     silence: SilenceWatch = field(init=False)
-    facts: dict[str, EndpointFacts] = field(factory=dict)
+    facts: dict[str, ServedState] = field(factory=dict)
     listed: dict[str, ListedInstance] = field(factory=dict)
     _engines: dict[str, HttpEngine] = field(factory=dict)
     _used: list[str] = field(factory=list)
@@ -112,12 +112,12 @@
         instance_list = await self.platform.list_instances()
         if not isinstance(instance_list, InstanceList):
             return
-        self.isolation.reached(request_ms)
+        self.isolation.record_response(request_ms)
         self.listed = {each.instance_id: each for each in instance_list.instances}
         for endpoint in self._intent.endpoints:
             instance = self.listed.get(endpoint.endpoint_id)
             gone = instance is None or instance.leaving
-            self.evidence.listed(endpoint.endpoint_id, gone)
+            self.evidence.record_listed(endpoint.endpoint_id, gone)
         self.on_entries_listed(
             {
                 each.instance_id: each.address
@@ -197,20 +197,20 @@
         self, endpoint_id: str, status: EndpointStatus, request_ms: float
     ) -> None:
         was_marked = self._is_marked(endpoint_id)
-        current = self.evidence.saw(
+        current = self.evidence.record_status(
             endpoint_id, status.incarnation, status.leaving, request_ms
         )
         if not current:
             return
         if not was_marked and self._is_marked(endpoint_id):
             log_event("endpoint_leaving", endpoint=endpoint_id)
-        self.facts[endpoint_id] = EndpointFacts(
+        self.facts[endpoint_id] = ServedState(
             status.serves, status.role, status.running + status.queued
         )
         report = LoadReport(
             endpoint_id, status.running, status.queued, status.slots, request_ms
         )
-        self.routing.reported(report)
+        self.routing.apply_report(report)
 
     def _is_marked(self, endpoint_id: str) -> bool:
         return any(m.endpoint_id == endpoint_id for m in self.evidence.leaving_marks())
@@ -219,20 +219,20 @@
         now_ms = self.clock.now_ms()
         if self.evidence.state(endpoint_id, now_ms) != "dead":
             log_event("endpoint_lost", endpoint=endpoint_id)
-        self.evidence.lost(endpoint_id)
+        self.evidence.record_refused(endpoint_id)
 
     def add_leaving_marks(self, marks: list[LeavingMark]) -> None:
         """Add leaving marks that another entry reported."""
         endpoint_ids = {each.endpoint_id for each in self._intent.endpoints}
         for mark in marks:
             if mark.endpoint_id in endpoint_ids:
-                self.evidence.hinted(mark)
+                self.evidence.record_mark(mark)
 
     # Stalls.
 
     async def _review_stalls(self) -> None:
         now_ms = self.clock.now_ms()
         due_ms = now_ms + self.settings.timers.pulse_ms
-        for endpoint_id in self.silence.review(now_ms, due_ms):
+        for endpoint_id in self.silence.newly_silent(now_ms, due_ms):
             log_event("endpoint_silent", endpoint=endpoint_id)
             self.on_silent(endpoint_id)
--- a/src/coursekeel/entry/control/_orders_task.py
+++ b/src/coursekeel/entry/control/_orders_task.py
@@ -58,7 +58,7 @@
         self._loop.stop()
         for lease in self.leases.values():
             if lease.state != "free":
-                await self.platform.transact(lease.hand_back())
+                await self.platform.transact(lease.release())
 
     async def _round(self) -> None:
         if not self.configuration.ready:
@@ -76,19 +76,21 @@
             self.leases[group] = lease
         request_ms = self.clock.now_ms()
         if lease.state == "held":
-            lease.answered(await self.platform.transact(lease.renew(request_ms)))
+            lease.apply_outcome(await self.platform.transact(lease.renew(request_ms)))
             return
         rows = await self.platform.read([key])
         if isinstance(rows, Unavailable):
             return
         row = rows.rows.get(key)
         if row is not None:
-            self._lapse_watch.saw(key, row.version, self.clock.now_ms())
-        free = row is None or row.value["free"] or self._lapse_watch.lapsed(key)
+            self._lapse_watch.record_version(key, row.version, self.clock.now_ms())
+        free = row is None or row.value["free"] or self._lapse_watch.is_lapsed(key)
         if not free:
             return
         request_ms = self.clock.now_ms()
-        lease.answered(await self.platform.transact(lease.take(row, request_ms)))
+        lease.apply_outcome(
+            await self.platform.transact(lease.acquire(row, request_ms))
+        )
         if lease.state == "held":
             log_event("group_lease_taken", group=group, epoch=lease.epoch)
 
--- a/src/coursekeel/entry/control/_peers_task.py
+++ b/src/coursekeel/entry/control/_peers_task.py
@@ -17,7 +17,7 @@
 from coursekeel.reactor import Reactor
 from coursekeel.runtime import Clock, Periodic
 
-__all__ = ["FollowServer", "PeerRefused", "PeersTask", "SuspectServer"]
+__all__ = ["FollowServer", "PeerRequestFailed", "PeersTask", "SuspectServer"]
 
 # A peer that doesn't reply within this time is skipped in this round. Equal to the
 # default interval of greetings.
@@ -48,7 +48,7 @@
 
 
 @define(frozen=True)
-class PeerRefused:
+class PeerRequestFailed:
     """A request to a peer failed; ``refused`` if its address refused the connection."""
 
     refused: bool
@@ -138,7 +138,7 @@
     # Greetings.
 
     async def _round(self) -> None:
-        for instance_id in self.book.to_tell():
+        for instance_id in self.book.peers_to_greet():
             await self.greet(instance_id)
 
     async def greet_all(self, names: list[str]) -> None:
@@ -162,7 +162,7 @@
             reply = await stub.Greet(message, timeout=_GREETING_TIMEOUT_S)
         except grpc.aio.AioRpcError as failure:
             if _is_refusal(failure):
-                self.book.refused(instance_id)
+                self.book.record_refused_connection(instance_id)
             return
         except asyncio.CancelledError:
             if not self._stopped:
@@ -170,16 +170,16 @@
             # Closing a channel cancels its calls; a stopping entry ignores that.
             return
         self.received_bytes += reply.ByteSize()
-        self.isolation.reached(request_ms)
+        self.isolation.record_response(request_ms)
         self._greeting_received(_from_message(reply))
 
     def _greeting_received(self, greeting: Greeting) -> None:
-        self.book.heard(greeting)
+        self.book.record_greeting(greeting)
         self.on_greeting(greeting)
 
     # Requests to peers.
 
-    async def tell_suspects(self, instance_id: str, news: Any) -> Any:
+    async def send_suspects(self, instance_id: str, news: Any) -> Any:
         """Send a peer suspect records; returns its reply, None if the call failed."""
         return await as_deferred(self._tell_suspects(instance_id, news))
 
@@ -229,7 +229,7 @@
             if not self._stopped:
                 raise
             return None
-        self.isolation.reached(request_ms)
+        self.isolation.record_response(request_ms)
         if not reply.revision:
             return None
         return Configuration.from_json(orjson.loads(reply.body))
@@ -240,14 +240,14 @@
         request: Any,
         took: Callable[[Any], bool],
         has_room: Callable[[], bool],
-    ) -> PeerRefused | None:
+    ) -> PeerRequestFailed | None:
         """Follow an answer at a peer; returns why it failed, None at a normal end.
 
         ``took`` handles each reply and returns whether to go on. Nothing is read while
         ``has_room`` returns False, so that HTTP/2 flow control slows the peer down and
         this entry's memory stays bounded.
         """
-        refused: PeerRefused | None = await as_deferred(
+        refused: PeerRequestFailed | None = await as_deferred(
             self._follow(instance_id, request, took, has_room)
         )
         return refused
@@ -258,10 +258,10 @@
         request: Any,
         took: Callable[[Any], bool],
         has_room: Callable[[], bool],
-    ) -> PeerRefused | None:
+    ) -> PeerRequestFailed | None:
         stub = self._stub(instance_id)
         if stub is None:
-            return PeerRefused(False, "the peer's address isn't known")
+            return PeerRequestFailed(False, "the peer's address isn't known")
         call = stub.Follow(request)
         try:
             async for reply in call:
@@ -271,7 +271,7 @@
                 while not has_room():
                     await asyncio.sleep(_ROOM_CHECK_S)
         except grpc.aio.AioRpcError as failure:
-            return PeerRefused(_is_refusal(failure), str(failure.details()))
+            return PeerRequestFailed(_is_refusal(failure), str(failure.details()))
         except asyncio.CancelledError:
             return None
         return None
--- a/src/coursekeel/entry/control/_rollout_task.py
+++ b/src/coursekeel/entry/control/_rollout_task.py
@@ -7,7 +7,7 @@
 from coursekeel.entry.answers._journal_task import LEASES_PREFIX
 from coursekeel.entry.control._configuration_task import ConfigurationTask
 from coursekeel.entry.control._peers_task import PeersTask
-from coursekeel.intents import PeerEvidence, waits_for
+from coursekeel.intents import InstanceEvidence, instances_to_wait_for
 from coursekeel.observe import log_event
 from coursekeel.reactor import Reactor
 from coursekeel.runtime import Periodic
@@ -65,7 +65,7 @@
         names = await self._serving_entries()
         if names is None:
             return
-        waiting = waits_for(
+        waiting = instances_to_wait_for(
             rollout.revision, names, self._evidence(), rollout.known_stopped
         )
         others = [name for name in waiting if name != self.instance_id]
@@ -88,16 +88,16 @@
             return None
         for row in leases.rows.values():
             name = row.key.removeprefix(LEASES_PREFIX)
-            self.peers.book.learned(name, row.value["address"])
+            self.peers.book.add_peer(name, row.value["address"])
         registered = {key.removeprefix(LEASES_PREFIX) for key in leases.rows}
         return registered | set(self.listed_entry_ids()) | set(self.peers.book.names)
 
-    def _evidence(self) -> dict[str, PeerEvidence]:
+    def _evidence(self) -> dict[str, InstanceEvidence]:
         own = self.configuration.current.revision
-        evidence = {self.instance_id: PeerEvidence(self.instance_id, own)}
+        evidence = {self.instance_id: InstanceEvidence(self.instance_id, own)}
         for name in self.peers.book.names:
             greeting = self.peers.book.greeting(name)
             applied = greeting.applied_revision if greeting else 0
             refused = self.peers.book.is_refusing(name)
-            evidence[name] = PeerEvidence(name, applied, refused)
+            evidence[name] = InstanceEvidence(name, applied, refused)
         return evidence
--- a/src/coursekeel/entry/http/_api.py
+++ b/src/coursekeel/entry/http/_api.py
@@ -171,7 +171,7 @@
             if refusal is not None:
                 return refuse(request, refusal)
             task = self.registry.start(generation)
-        stored = await self.registry.until_stored(task)
+        stored = await self.registry.wait_until_stored(task)
         if not stored:
             self.registry.give_up(task)
             text = "the request can't be stored now"
--- a/src/coursekeel/entry/http/_event_sinks.py
+++ b/src/coursekeel/entry/http/_event_sinks.py
@@ -75,7 +75,7 @@
 
     # Sink interface, called by the answer's reader.
 
-    def guard_by(self, right: SendingRight | None) -> None:
+    def set_sending_right(self, right: SendingRight | None) -> None:
         """Send what is written from now on only while this right holds."""
         self._connection.guard(right)
 
@@ -134,12 +134,12 @@
     def moved(self) -> None:
         """Another entry owns the answer now: have the reader follow it there."""
         if self.source_moved is not None:
-            self.guard_by(None)
+            self.set_sending_right(None)
             self.source_moved()
         else:
-            self.come_back()
+            self.redirect_caller()
 
-    def come_back(self) -> None:
+    def redirect_caller(self) -> None:
         """Tell the caller to reconnect, since another entry owns the answer.
 
         If unsent bytes are buffered, the connection is aborted instead.
@@ -179,7 +179,7 @@
         self.wake: Any = None
         self.source_moved: Any = None
 
-    def guard_by(self, right: SendingRight | None) -> None:
+    def set_sending_right(self, right: SendingRight | None) -> None:
         """Send the answer only while this right holds."""
         self._connection.guard(right)
 
@@ -233,10 +233,10 @@
     def moved(self) -> None:
         """Another entry owns the answer now: have the reader follow it there."""
         if self.source_moved is not None:
-            self.guard_by(None)
+            self.set_sending_right(None)
             self.source_moved()
 
-    def come_back(self) -> None:
+    def redirect_caller(self) -> None:
         """Refuse with ``moved``: nothing was sent yet, so the caller can just retry."""
         if self._connection.withdraw():
             self.refuse(
--- a/src/coursekeel/entry/http/_guarded_connection.py
+++ b/src/coursekeel/entry/http/_guarded_connection.py
@@ -17,7 +17,7 @@
 from twisted.internet.tcp import Port, Server
 from twisted.web.http import Request
 
-from coursekeel.entry.answers._sinks import HELD_LOOK_S, SendingRight
+from coursekeel.entry.answers._sinks import HELD_OUTPUT_POLL_S, SendingRight
 from coursekeel.observe import log_event
 from coursekeel.reactor import Reactor
 
@@ -96,7 +96,7 @@
             self._is_holding = True
             log_event("output_held", bytes=self._unsent_bytes)
         if self._retry_call is None:
-            self._retry_call = self.reactor.callLater(HELD_LOOK_S, self._retry)
+            self._retry_call = self.reactor.callLater(HELD_OUTPUT_POLL_S, self._retry)
 
     def _retry(self) -> None:
         self._retry_call = None
--- a/src/coursekeel/entry/http/_operator.py
+++ b/src/coursekeel/entry/http/_operator.py
@@ -18,7 +18,7 @@
     Confirmed,
     Intent,
     Stale,
-    StoreSilent,
+    StoreUnavailable,
     UnknownPlan,
     intent_from_json,
     intent_to_json,
@@ -72,7 +72,7 @@
             )
         except RequestInvalid as fault:
             return refuse(request, not_run("bad_request", str(fault)))
-        if isinstance(plan, StoreSilent):
+        if isinstance(plan, StoreUnavailable):
             return refuse(request, _store_refusal(plan))
         return send_json(request, 200, plan.to_json())
 
@@ -95,7 +95,7 @@
             case UnknownPlan():
                 text = f"there is no plan {plan_id!r}; plan again"
                 return refuse(request, not_run("not_found", text))
-            case StoreSilent():
+            case StoreUnavailable():
                 return refuse(request, _store_refusal(outcome))
 
     def _stale_reply(self, request: Any, stale: Stale) -> bytes:
@@ -170,7 +170,7 @@
     return frozenset(names)
 
 
-def _store_refusal(outcome: StoreSilent) -> Refusal:
+def _store_refusal(outcome: StoreUnavailable) -> Refusal:
     if not outcome.unsure:
         text = f"the store is unavailable: {outcome.reason}"
         return not_run("store_unavailable", text, _RETRY_AFTER_MS)
--- a/src/coursekeel/entry/suspects/_endpoint_watch.py
+++ b/src/coursekeel/entry/suspects/_endpoint_watch.py
@@ -17,7 +17,7 @@
 from coursekeel.quarantine import Sign
 from coursekeel.reactor import Reactor
 from coursekeel.runtime import Clock, spawn
-from coursekeel.suspects import AskedRequest, LostRuns, QuarantineGate, Suspect
+from coursekeel.suspects import FingerprintedRequest, LostRuns, QuarantineGate, Suspect
 
 __all__ = ["EndpointWatch"]
 
@@ -39,7 +39,11 @@
     _lost_runs: LostRuns = field(factory=LostRuns)
 
     def run_lost(
-        self, request: AskedRequest, endpoint_id: str, sign: Sign | None, engine: bool
+        self,
+        request: FingerprintedRequest,
+        endpoint_id: str,
+        sign: Sign | None,
+        engine: bool,
     ) -> None:
         """Handle a run whose connection was lost.
 
@@ -49,7 +53,7 @@
         busy; a plain service may delay them.
         """
         if sign is None:
-            self.gate.proved_sound(request)
+            self.gate.report_success(request)
             return
         adapter = self.adapter(endpoint_id)
         if adapter is None or self.evidence.is_leaving(endpoint_id):
@@ -63,10 +67,10 @@
         self, endpoint_id: str, adapter: EngineAdapter, engine: bool
     ) -> None:
         incarnation = self.evidence.incarnation(endpoint_id)
-        status = await adapter.status(anew=True)
-        suspects = self._lost_runs.taken(endpoint_id)
+        status = await adapter.status(new_connection=True)
+        suspects = self._lost_runs.pop(endpoint_id)
         if not isinstance(status, Unreachable) or not (status.refused or engine):
             return
         fingerprints = ",".join(suspect.fingerprint for suspect in suspects)
         log_event("endpoint_ended", endpoint=endpoint_id, fingerprints=fingerprints)
-        self.gate.struck(f"{endpoint_id}/{incarnation}", suspects)
+        self.gate.report_crash(f"{endpoint_id}/{incarnation}", suspects)
--- a/src/coursekeel/entry/suspects/_news.py
+++ b/src/coursekeel/entry/suspects/_news.py
@@ -12,10 +12,10 @@
 from coursekeel.quarantine import (
     SuspectRecord,
     UnreadableQuarantine,
-    decode_told,
-    encode_told,
+    decode_sent_record,
+    encode_sent_record,
     record_of,
-    told_of,
+    to_sent_record,
 )
 
 __all__ = ["decode_news", "encode_news"]
@@ -25,7 +25,7 @@
     records: Iterable[SuspectRecord], now_ms: float, wants_all: bool = False
 ) -> peer_pb2.SuspectNews:
     """Encode records with their ages now; ``wants_all`` asks for all of the peer's."""
-    encoded = [encode_told(told_of(record, now_ms)) for record in records]
+    encoded = [encode_sent_record(to_sent_record(record, now_ms)) for record in records]
     return peer_pb2.SuspectNews(records=encoded, wants_all=wants_all)
 
 
@@ -33,7 +33,7 @@
     """Decode the records of a message that was received at ``now_ms``."""
     records = []
     for body in news.records:
-        told = decode_told(body)
+        told = decode_sent_record(body)
         if isinstance(told, UnreadableQuarantine):
             log_event("suspect_unreadable", logging.WARNING, fault=told.fault)
         else:
--- a/src/coursekeel/entry/suspects/_store.py
+++ b/src/coursekeel/entry/suspects/_store.py
@@ -10,7 +10,7 @@
 
 from coursekeel.runtime import Clock
 from coursekeel.storage import Committed, Platform, Transaction, Unavailable
-from coursekeel.suspects import KeptRows, SuspectTable, TableFailed
+from coursekeel.suspects import StoredRows, SuspectTable, TableFailed
 from coursekeel.units import MS_PER_SECOND
 
 __all__ = ["EntrySuspects"]
@@ -31,7 +31,7 @@
     platform: Platform
     clock: Clock
 
-    async def read(self, timeout_ms: float) -> KeptRows | TableFailed:
+    async def read(self, timeout_ms: float) -> StoredRows | TableFailed:
         """Read all rows; the platform applies its own timeout."""
         rows = await self.platform.scan(_PREFIX, _MAX_ROWS)
         if isinstance(rows, Unavailable):
@@ -40,7 +40,7 @@
             key.removeprefix(_PREFIX): orjson.dumps(row.value)
             for key, row in rows.rows.items()
         }
-        return KeptRows(values, self.clock.wall_s() * MS_PER_SECOND)
+        return StoredRows(values, self.clock.wall_s() * MS_PER_SECOND)
 
     async def write(
         self, kept: Mapping[str, bytes], gone: Sequence[str], timeout_ms: float
--- a/src/coursekeel/entry/suspects/_suspects_task.py
+++ b/src/coursekeel/entry/suspects/_suspects_task.py
@@ -95,7 +95,7 @@
         if reply is not None:
             self._merge(reply)
 
-    def heard_digest(self, instance_id: str, digest: str) -> None:
+    def receive_digest(self, instance_id: str, digest: str) -> None:
         """Exchange all records with a peer whose digest differs and isn't empty."""
         if not digest or digest == self.quarantine.digest:
             return
--- a/src/coursekeel/fetch/_arrival.py
+++ b/src/coursekeel/fetch/_arrival.py
@@ -29,12 +29,12 @@
 class Transfer:
     """Limits on a response whose head has arrived.
 
-    ``pause_ms`` limits the time between two chunks, ``most_ms`` the time from the head
+    ``pause_ms`` limits the time between two chunks, ``max_ms`` the time from the head
     to the end, and ``most_bytes`` the size of the body.
     """
 
     pause_ms: float
-    most_ms: float
+    max_ms: float
     most_bytes: int
 
 
@@ -65,7 +65,7 @@
     def head_received(self) -> None:
         """The head of the response arrived."""
         if self.transfer is not None:
-            self._end_s = self.reactor.seconds() + self.transfer.most_ms / 1000
+            self._end_s = self.reactor.seconds() + self.transfer.max_ms / 1000
             self._wait_for_chunk(self.transfer)
 
     def chunk_received(self, size_bytes: int) -> None:
@@ -89,7 +89,7 @@
         remaining_ms = (self._end_s - self.reactor.seconds()) * 1000
         if remaining_ms < transfer.pause_ms:
             self._start_timer(
-                max(0.0, remaining_ms), f"not whole within {transfer.most_ms:.0f} ms"
+                max(0.0, remaining_ms), f"not whole within {transfer.max_ms:.0f} ms"
             )
         else:
             self._start_timer(
--- a/src/coursekeel/forwarding/__init__.py
+++ b/src/coursekeel/forwarding/__init__.py
@@ -3,10 +3,10 @@
 from coursekeel.forwarding._directory import EndpointDirectory
 from coursekeel.forwarding._events import EventLedger, event_number, split_events
 from coursekeel.forwarding._freshness import (
-    Belief,
+    ConfigurationAge,
     Freshness,
     StoreClock,
-    proven_moment_ms,
+    confirmed_time_ms,
 )
 from coursekeel.forwarding._model import (
     EndpointRecord,
@@ -20,10 +20,10 @@
     Team,
     key_digest,
 )
-from coursekeel.forwarding._moment import StoreMoment
+from coursekeel.forwarding._moment import StorePosition
 
 __all__ = [
-    "Belief",
+    "ConfigurationAge",
     "EndpointDirectory",
     "EndpointRecord",
     "EventLedger",
@@ -36,10 +36,10 @@
     "RouteKind",
     "RouteTable",
     "StoreClock",
-    "StoreMoment",
+    "StorePosition",
     "Team",
+    "confirmed_time_ms",
     "event_number",
     "key_digest",
-    "proven_moment_ms",
     "split_events",
 ]
--- a/src/coursekeel/forwarding/_directory.py
+++ b/src/coursekeel/forwarding/_directory.py
@@ -13,7 +13,7 @@
 from attrs import define, evolve, field
 
 from coursekeel.forwarding._model import EndpointRecord
-from coursekeel.forwarding._moment import StoreMoment
+from coursekeel.forwarding._moment import StorePosition
 
 __all__ = ["EndpointDirectory"]
 
@@ -46,14 +46,14 @@
     """
 
     _records: dict[str, EndpointRecord] = field(factory=dict)
-    _positions: dict[str, StoreMoment] = field(factory=dict)
+    _positions: dict[str, StorePosition] = field(factory=dict)
     _health: dict[str, _Health] = field(factory=dict)
     _recovering: bool = False
     _missing: set[str] = field(factory=set)
     _adopted: set[str] = field(factory=set)
     _delisted_ids: dict[str, None] = field(factory=dict)
 
-    def put(self, record: EndpointRecord, position: StoreMoment) -> None:
+    def put(self, record: EndpointRecord, position: StorePosition) -> None:
         """Store a record as of ``position``; an older one is ignored."""
         if position < self._position_of(record.endpoint_id):
             return
@@ -62,17 +62,17 @@
         self._missing.discard(record.endpoint_id)
         self._adopted.discard(record.endpoint_id)
 
-    def store_returned(self) -> None:
+    def begin_recovery(self) -> None:
         """Note that the list is read again after an outage, and may lack endpoints.
 
-        Running endpoints register again soon. Until `settle` one that is missing may
-        still take work unless it was leaving: removing all of them at once would refuse
-        every request until they are listed again.
+        Running endpoints register again soon. Until `remove_missing` one that is
+        missing may still take work unless it was leaving: removing all of them at once
+        would refuse every request until they are listed again.
         """
         self._recovering = True
         self._missing |= self._adopted
 
-    def settle(self) -> list[str]:
+    def remove_missing(self) -> list[str]:
         """Remove the endpoints still missing some time after an outage; returns ids."""
         self._recovering = False
         gone, self._missing = sorted(self._missing), set()
@@ -80,10 +80,10 @@
             self._forget(endpoint_id)
         return gone
 
-    def remove(self, endpoint_id: str, position: StoreMoment) -> None:
+    def remove(self, endpoint_id: str, position: StorePosition) -> None:
         """Remove an endpoint that the list dropped.
 
-        After an outage it stays until `settle`, unless it was leaving.
+        After an outage it stays until `remove_missing`, unless it was leaving.
         """
         if position < self._position_of(endpoint_id):
             return
@@ -104,7 +104,7 @@
 
     def replace_all(
         self,
-        records: Iterable[tuple[EndpointRecord, StoreMoment]],
+        records: Iterable[tuple[EndpointRecord, StorePosition]],
         kept: Collection[str] = (),
     ) -> None:
         """Apply a whole list; endpoints that it doesn't name are removed.
@@ -120,21 +120,21 @@
 
     def restore(
         self,
-        records: Iterable[tuple[EndpointRecord, StoreMoment]],
+        records: Iterable[tuple[EndpointRecord, StorePosition]],
         kept: Collection[str] = (),
     ) -> None:
         """Apply the whole list of a store that was restored from an older copy.
 
         The copy may name endpoints that were removed since, or lack the mark of one
         that is leaving: both stay as they are here. Endpoints that it lacks count as
-        missing until `settle`, as after an outage; running ones register again.
+        missing until `remove_missing`, as after an outage; running ones register again.
         """
-        self.store_returned()
+        self.begin_recovery()
         self.replace_all(self._merge_known_state(records), kept)
 
     def _merge_known_state(
-        self, records: Iterable[tuple[EndpointRecord, StoreMoment]]
-    ) -> Iterable[tuple[EndpointRecord, StoreMoment]]:
+        self, records: Iterable[tuple[EndpointRecord, StorePosition]]
+    ) -> Iterable[tuple[EndpointRecord, StorePosition]]:
         for record, position in records:
             if record.endpoint_id in self._delisted_ids:
                 continue
@@ -146,7 +146,9 @@
         """The endpoint's record; None if it isn't listed."""
         return self._records.get(endpoint_id)
 
-    def known(self, endpoint_id: str) -> tuple[EndpointRecord, StoreMoment]:
+    def record_with_position(
+        self, endpoint_id: str
+    ) -> tuple[EndpointRecord, StorePosition]:
         """A listed endpoint's record, and the store position at which it was read."""
         return self._records[endpoint_id], self._position_of(endpoint_id)
 
@@ -179,7 +181,7 @@
         """The slots of each endpoint; 0 if it doesn't report them."""
         return {name: record.slots for name, record in self._records.items()}
 
-    def failed(self, endpoint_id: str, now_ms: float) -> float:
+    def eject(self, endpoint_id: str, now_ms: float) -> float:
         """Eject an endpoint after a failed request; returns the remaining ms."""
         health = self._health.setdefault(endpoint_id, _Health())
         if now_ms < health.ejected_until_ms:
@@ -191,7 +193,7 @@
         health.ejected_until_ms = now_ms + ejection_ms
         return ejection_ms
 
-    def replaced(self, endpoint_id: str) -> None:
+    def mark_replaced(self, endpoint_id: str) -> None:
         """Mark an incarnation as replaced: another one responded at its address."""
         self._health.setdefault(endpoint_id, _Health()).replaced = True
 
@@ -219,11 +221,11 @@
             self._missing.add(successor_id)
         return record
 
-    def unlisted(self, successor_id: str) -> bool:
+    def is_adopted(self, successor_id: str) -> bool:
         """Whether an endpoint was adopted and the list doesn't name it yet."""
         return successor_id in self._adopted
 
-    def disown(self, successor_id: str) -> None:
+    def remove_adopted(self, successor_id: str) -> None:
         """Remove an adopted endpoint that the list didn't name in time."""
         if successor_id in self._adopted:
             self._forget(successor_id)
@@ -238,8 +240,8 @@
             return True
         return not health.replaced and now_ms >= health.ejected_until_ms
 
-    def _position(self, record: EndpointRecord) -> StoreMoment:
+    def _position(self, record: EndpointRecord) -> StorePosition:
         return self._position_of(record.endpoint_id)
 
-    def _position_of(self, endpoint_id: str) -> StoreMoment:
-        return self._positions.get(endpoint_id, StoreMoment())
+    def _position_of(self, endpoint_id: str) -> StorePosition:
+        return self._positions.get(endpoint_id, StorePosition())
--- a/src/coursekeel/forwarding/_events.py
+++ b/src/coursekeel/forwarding/_events.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from coursekeel.answers import Offer, OfferKind
+from coursekeel.answers import OfferOutcome, OfferResult
 
 __all__ = ["EventLedger", "event_number", "split_events"]
 
@@ -24,7 +24,9 @@
     next_position: int = 0
     _pending: list[bytes] = field(factory=list)
 
-    def offer(self, position: int, tokens: list[int], texts: list[bytes]) -> Offer:
+    def offer(
+        self, position: int, tokens: list[int], texts: list[bytes]
+    ) -> OfferResult:
         """Accept events whose numbers are ``tokens`` and whose bytes are ``texts``.
 
         Events that were accepted before are skipped. A number beyond the next one is a
@@ -35,12 +37,12 @@
             if number <= self.next_position:
                 continue
             if number > self.next_position + 1:
-                return Offer(OfferKind.GAP)
+                return OfferResult(OfferOutcome.GAP)
             self.next_position = number
             self._pending.append(event)
             added += 1
-        kind = OfferKind.EXTENDED if added else OfferKind.REPEATED
-        return Offer(kind, added)
+        kind = OfferOutcome.EXTENDED if added else OfferOutcome.REPEATED
+        return OfferResult(kind, added)
 
     def take(self) -> bytes:
         """Remove and return the bytes of the accepted events."""
--- a/src/coursekeel/forwarding/_freshness.py
+++ b/src/coursekeel/forwarding/_freshness.py
@@ -11,7 +11,7 @@
 
 from attrs import define, field, frozen
 
-__all__ = ["Belief", "Freshness", "StoreClock", "proven_moment_ms"]
+__all__ = ["ConfigurationAge", "Freshness", "StoreClock", "confirmed_time_ms"]
 
 # How early a timer of the store may fire by this clock, because of rounding.
 _TIMER_SLACK_MS = 5.0
@@ -23,7 +23,7 @@
 _MAX_CONTRADICTION_MS = 30_000.0
 
 
-def proven_moment_ms(sent_ms: float, received_ms: float, held_ms: float) -> float:
+def confirmed_time_ms(sent_ms: float, received_ms: float, held_ms: float) -> float:
     """The latest local time at which a store response confirms the state.
 
     A read confirms the state at ``sent_ms``. A long poll that the store was asked to
@@ -91,26 +91,26 @@
 
     _confirmed_ms: dict[str, float] = field(factory=dict)
 
-    def proved(self, table: str, confirmed_ms: float) -> None:
+    def record_confirmation(self, table: str, confirmed_ms: float) -> None:
         """Record that a response confirmed the table's state at ``confirmed_ms``."""
         if confirmed_ms > self._confirmed_ms.get(table, -math.inf):
             self._confirmed_ms[table] = confirmed_ms
 
-    def withdrawn(self, table: str, before_ms: float) -> None:
+    def undo_confirmation(self, table: str, before_ms: float) -> None:
         """Undo the last confirmation; ``before_ms`` is the time confirmed before it."""
         self._confirmed_ms[table] = before_ms
 
     def age_ms(self, table: str, now_ms: float) -> float:
         """The time since the last confirmed time; infinite if there is none."""
-        return now_ms - self.proven_ms(table)
+        return now_ms - self.confirmed_ms(table)
 
-    def proven_ms(self, table: str) -> float:
+    def confirmed_ms(self, table: str) -> float:
         """The last confirmed time; minus infinity if there is none."""
         return self._confirmed_ms.get(table, -math.inf)
 
 
 @frozen
-class Belief:
+class ConfigurationAge:
     """The cached configuration: its version, and the age of its last confirmation.
 
     Before the first read ``version`` is -1 and ``age_ms`` infinite.
--- a/src/coursekeel/forwarding/_moment.py
+++ b/src/coursekeel/forwarding/_moment.py
@@ -9,11 +9,11 @@
 
 from attrs import frozen
 
-__all__ = ["StoreMoment"]
+__all__ = ["StorePosition"]
 
 
 @frozen(order=True)
-class StoreMoment:
+class StorePosition:
     """``version`` grows within ``era``, which grows with each restore from a copy.
 
     A store that reports no era has era 0.
@@ -26,7 +26,7 @@
         return f"{self.era}.{self.version}"
 
     @classmethod
-    def parse(cls, text: str) -> "StoreMoment":
+    def parse(cls, text: str) -> "StorePosition":
         """Parse the result of `str`; raises `ValueError`."""
         era, _, version = text.partition(".")
         if not (era.isascii() and era.isdigit()):
--- a/src/coursekeel/gateway/_adapters.py
+++ b/src/coursekeel/gateway/_adapters.py
@@ -15,7 +15,7 @@
 from coursekeel.forwarding import (
     EndpointRecord,
     ForwardingConfiguration,
-    StoreMoment,
+    StorePosition,
 )
 
 __all__ = [
@@ -27,17 +27,17 @@
     "EndpointReport",
     "HeadVerdict",
     "HeaderPairs",
-    "HistoryGone",
+    "HistoryExpired",
     "OutboundRequest",
-    "Reading",
     "Removed",
     "Source",
     "SourceFailed",
-    "StoreQuestion",
+    "StoreQuery",
     "Table",
+    "TableRead",
     "UnreadableEntry",
     "UnreadableReport",
-    "Versioned",
+    "VersionedEntry",
 ]
 
 HeaderPairs = Sequence[tuple[bytes, bytes]]
@@ -115,14 +115,15 @@
 class EndpointReport:
     """An endpoint's own report of its load.
 
-    ``unread_runs`` is the number of requests that are queued or in prefill; ``runs``
-    are the ids of the running requests, ``models`` the names of the models served.
+    ``prefill_pending_runs`` is the number of requests that are queued or in prefill;
+    ``runs`` are the ids of the running requests, ``models`` the names of the models
+    served.
     """
 
     running: int
     queued: int
     free_tokens: int | None = None
-    unread_runs: int | None = None
+    prefill_pending_runs: int | None = None
     runs: frozenset[str] = frozenset()
     models: frozenset[str] = frozenset()
 
@@ -145,11 +146,11 @@
 class EndpointDialect(ABC):
     """The protocol of the site's endpoints.
 
-    ``report`` requests a load report, ``kept_prompts`` the list of cached prompts.
+    ``report`` requests a load report, ``cached_prompts`` the list of cached prompts.
     """
 
     report: EndpointCall
-    kept_prompts: EndpointCall
+    cached_prompts: EndpointCall
 
     @abstractmethod
     def headers(
@@ -174,7 +175,7 @@
         """Parse a load report."""
 
     @abstractmethod
-    def read_kept(self, body: bytes) -> frozenset[str]:
+    def read_cached_prompts(self, body: bytes) -> frozenset[str]:
         """The keys of the prompts that an endpoint caches, none if unreadable."""
 
 
@@ -208,7 +209,7 @@
 
 
 @frozen
-class Versioned:
+class VersionedEntry:
     """An entry, and the store position of its version."""
 
     entry: (
@@ -218,11 +219,11 @@
         | Removed
         | UnreadableEntry
     )
-    moment: StoreMoment
+    position: StorePosition
 
 
 @frozen
-class StoreQuestion:
+class StoreQuery:
     """A query to the store: when it was sent, on this process's clock, and how long
     the store was to hold it.
     """
@@ -232,27 +233,27 @@
 
 
 @frozen
-class Reading:
+class TableRead:
     """Entries read from a table, the position to follow from, and the store's time.
 
-    A ``whole`` reading is a snapshot of the table, any other an update. ``proven_ms``:
-    set in a reading from another member, instead of the store's time; the time on this
-    process's clock at which the store confirmed it. ``question``: the query to the
-    store, if the source queried other members first. ``restored``: the first reading
-    after the store was restored from an older copy.
+    A ``whole`` table read is a snapshot of the table, any other an update.
+    ``confirmed_ms``: set in a read from another member, instead of the store's time;
+    the time on this process's clock at which the store confirmed it. ``query``: the
+    query to the store, if the source queried other members first. ``restored``: the
+    first read after the store was restored from an older copy.
     """
 
-    entries: tuple[Versioned, ...]
-    moment: StoreMoment
+    entries: tuple[VersionedEntry, ...]
+    position: StorePosition
     store_ms: float
     whole: bool
-    proven_ms: float | None = None
-    question: StoreQuestion | None = None
+    confirmed_ms: float | None = None
+    query: StoreQuery | None = None
     restored: bool = False
 
 
 @frozen
-class HistoryGone:
+class HistoryExpired:
     """The store no longer has the changes since that position; read a snapshot."""
 
 
@@ -270,7 +271,7 @@
 # Bounds on receiving a response of the store once it has begun. The pause allows two
 # TCP retransmissions in a row (RFC 6298; Linux uses 200 ms once a path's round-trip
 # time is known). 20 s are enough for 12 MB at 5 Mbit/s.
-STORE_TRANSFER = Transfer(pause_ms=1_000, most_ms=20_000, most_bytes=20 << 20)
+STORE_TRANSFER = Transfer(pause_ms=1_000, max_ms=20_000, most_bytes=20 << 20)
 
 
 class Source(ABC):
@@ -285,14 +286,14 @@
         return usual_ms
 
     @abstractmethod
-    async def read(self, table: Table, timeout_ms: float) -> Reading | SourceFailed:
+    async def read(self, table: Table, timeout_ms: float) -> TableRead | SourceFailed:
         """Read a snapshot of a table."""
 
     @abstractmethod
     async def follow(
-        self, table: Table, since: StoreMoment, hold_ms: float, timeout_ms: float
-    ) -> Reading | HistoryGone | SourceFailed:
+        self, table: Table, since: StorePosition, hold_ms: float, timeout_ms: float
+    ) -> TableRead | HistoryExpired | SourceFailed:
         """Read the changes after ``since``; held for ``hold_ms`` while there are none.
 
-        If the reading's era isn't that of ``since``, changes in between may be missing.
+        If the read's era isn't that of ``since``, changes in between may be missing.
         """
--- a/src/coursekeel/gateway/_caller_reply.py
+++ b/src/coursekeel/gateway/_caller_reply.py
@@ -46,7 +46,7 @@
         request.setResponseCode(status)
         for name, value in headers:
             request.responseHeaders.addRawHeader(name, value)
-        if self.shutdown.begun:
+        if self.shutdown.has_begun:
             request.responseHeaders.setRawHeaders(b"connection", [b"close"])
 
     def write(self, data: bytes) -> None:
--- a/src/coursekeel/gateway/_context.py
+++ b/src/coursekeel/gateway/_context.py
@@ -10,13 +10,13 @@
 from coursekeel.gateway._live_settings import LiveSettings
 from coursekeel.gateway._metrics import GatewayMetrics
 from coursekeel.gateway._retry_budgets import RetryBudgets
-from coursekeel.gateway.admission._stream_lengths import StreamLengths
+from coursekeel.gateway.admission._stream_lengths import StreamDurations
 from coursekeel.gateway.endpoints._crash_watch import CrashWatch
 from coursekeel.gateway.endpoints._endpoint_client import EndpointClient
 from coursekeel.gateway.endpoints._endpoint_health import EndpointHealth
-from coursekeel.gateway.endpoints._lived_silences import LivedSilences
+from coursekeel.gateway.endpoints._lived_silences import StallHistory
 from coursekeel.gateway.rollouts._version_choice import VersionChoice
-from coursekeel.gateway.site._known_site import KnownSite
+from coursekeel.gateway.site._site_state import SiteState
 from coursekeel.reactor import Reactor
 from coursekeel.runtime import Clock, RoutingTask
 from coursekeel.suspects import QuarantineGate
@@ -32,7 +32,7 @@
     clock: Clock
     random: Random
     settings: LiveSettings
-    site: KnownSite
+    site: SiteState
     routing: RoutingTask
     endpoints: EndpointClient
     health: EndpointHealth
@@ -41,5 +41,5 @@
     quarantine: QuarantineGate
     crashes: CrashWatch
     versions: VersionChoice = field(factory=VersionChoice)
-    lived: LivedSilences = field(factory=LivedSilences)
-    lengths: StreamLengths = field(factory=StreamLengths)
+    stall_history: StallHistory = field(factory=StallHistory)
+    lengths: StreamDurations = field(factory=StreamDurations)
--- a/src/coursekeel/gateway/_dispatcher.py
+++ b/src/coursekeel/gateway/_dispatcher.py
@@ -3,7 +3,7 @@
 Requests that arrive before routes and endpoints have been read wait in `StartHold`.
 
 Owns the count of open requests. Relies on `_admission` for the decision, and on
-`KnownSite` for the cached routes and keys.
+`SiteState` for the cached routes and keys.
 """
 
 from collections.abc import Callable
@@ -16,27 +16,32 @@
 from coursekeel.gateway._context import GatewayContext
 from coursekeel.gateway._http import CallerRequest
 from coursekeel.gateway._request import AdmittedRequest
-from coursekeel.gateway.admission._admission import Admission, Admitted, Arrival, admit
+from coursekeel.gateway.admission._admission import (
+    AdmissionState,
+    Admitted,
+    RequestKey,
+    admit,
+)
 from coursekeel.gateway.admission._refusals import (
-    NOT_YET_RETRY_MS,
-    STOPS_ENDPOINTS,
+    NOT_READY_RETRY_MS,
+    REQUEST_BARRED_CODE,
     GatewayRefusal,
     outage_wait_ms,
     refusal_retry_ms,
 )
-from coursekeel.gateway.admission._start_hold import FirstReadings, StartHold
+from coursekeel.gateway.admission._start_hold import FirstReads, StartHold
 from coursekeel.gateway.admission._stop_window import Shutdown
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 from coursekeel.gateway.streams._stream_task import StreamTask
-from coursekeel.gateway.streams._successors import Successors
+from coursekeel.gateway.streams._successors import SuccessorLookup
 from coursekeel.gateway.whole._whole_task import WholeAnswerTask
 from coursekeel.units import MS_PER_SECOND
 
 __all__ = ["Dispatcher"]
 
-_NO_POOL = GatewayRefusal(HTTPStatus.SERVICE_UNAVAILABLE, "no_pool", NOT_YET_RETRY_MS)
+_NO_POOL = GatewayRefusal(HTTPStatus.SERVICE_UNAVAILABLE, "no_pool", NOT_READY_RETRY_MS)
 
-_BARRED = GatewayRefusal(HTTPStatus.SERVICE_UNAVAILABLE, STOPS_ENDPOINTS)
+_BARRED = GatewayRefusal(HTTPStatus.SERVICE_UNAVAILABLE, REQUEST_BARRED_CODE)
 
 
 @define(eq=False)
@@ -48,7 +53,7 @@
 
     context: GatewayContext
     reports: LoadReports
-    successors: Successors
+    successors: SuccessorLookup
     callers: CallerDialect
     shutdown: Shutdown
     alone_in_zone: Callable[[], bool]
@@ -73,15 +78,15 @@
             serve()
 
     def _must_wait_for_reads(self) -> bool:
-        reads_pending = self.start_hold.state is FirstReadings.COMING
+        reads_pending = self.start_hold.state is FirstReads.COMING
         has_room = self.open_requests <= self.context.settings.now.max_open_requests
-        return reads_pending and has_room and not self.shutdown.begun
+        return reads_pending and has_room and not self.shutdown.has_begun
 
     def _wait_for_reads(
         self, reply: CallerReply, caller: CallerHeaders, serve: Callable[[], None]
     ) -> None:
         number = self.start_hold.add(serve)
-        wait_ms = max(NOT_YET_RETRY_MS, outage_wait_ms(caller.deadline_ms))
+        wait_ms = max(NOT_READY_RETRY_MS, outage_wait_ms(caller.deadline_ms))
         timer = self.context.reactor.callLater(
             wait_ms / MS_PER_SECOND, self.start_hold.release, number
         )
@@ -102,7 +107,7 @@
         reply: CallerReply,
         arrived_ms: float,
     ) -> None:
-        arrival = Arrival(request.host_name(), request.path_name(), caller.key)
+        arrival = RequestKey(request.host_name(), request.path_name(), caller.key)
         outcome = admit(arrival, self._admission_state())
         if isinstance(outcome, GatewayRefusal):
             self._refuse(reply, caller, outcome)
@@ -124,9 +129,9 @@
     def _on_request_end(self, _: object) -> None:
         self.open_requests -= 1
 
-    def _admission_state(self) -> Admission:
+    def _admission_state(self) -> AdmissionState:
         site, settings = self.context.site, self.context.settings
-        return Admission(
+        return AdmissionState(
             routes=site.routes,
             age_ms=site.routes_age_ms,
             max_key_age_ms=site.max_key_age_ms,
--- a/src/coursekeel/gateway/_gateway.py
+++ b/src/coursekeel/gateway/_gateway.py
@@ -41,11 +41,11 @@
 from coursekeel.gateway.endpoints._endpoint_health import EndpointHealth
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 from coursekeel.gateway.members._group import Group
-from coursekeel.gateway.rollouts._rollout_task import CanaryTask, report_period_ms
+from coursekeel.gateway.rollouts._rollout_task import RolloutTask, report_period_ms
 from coursekeel.gateway.rollouts._version_choice import VersionChoice
-from coursekeel.gateway.site._follow_task import FollowedTable, FollowTask
-from coursekeel.gateway.site._known_site import KnownSite
-from coursekeel.gateway.streams._successors import Successors
+from coursekeel.gateway.site._follow_task import FollowedTable, TableWatchTask
+from coursekeel.gateway.site._site_state import SiteState
+from coursekeel.gateway.streams._successors import SuccessorLookup
 from coursekeel.observe import log_event
 from coursekeel.quarantine import Quarantine
 from coursekeel.reactor import Reactor
@@ -94,12 +94,12 @@
     _router: Router = field(init=False)
     _group: Group = field(init=False)
     _suspect_keeper: SuspectKeeper = field(init=False)
-    _site: KnownSite = field(init=False)
+    _site: SiteState = field(init=False)
     _start_hold: StartHold = field(factory=StartHold)
-    _rollouts: CanaryTask = field(init=False)
+    _rollouts: RolloutTask = field(init=False)
     _metrics: GatewayMetrics = field(init=False)
     _dispatcher: Dispatcher = field(init=False)
-    _follow_tasks: list[FollowTask] = field(init=False)
+    _follow_tasks: list[TableWatchTask] = field(init=False)
     _listeners: list[Any] = field(factory=list)
     _connections: OpenConnections = field(factory=OpenConnections)
 
@@ -138,7 +138,7 @@
             random,
             self._report_period_ms,
         )
-        self._site = KnownSite(
+        self._site = SiteState(
             self.reactor,
             self.clock,
             self._live_settings,
@@ -150,7 +150,7 @@
             rollouts,
             lambda: self._rollouts.ordered(),
         )
-        self._rollouts = CanaryTask(
+        self._rollouts = RolloutTask(
             self.reactor,
             self.clock,
             self._group.swim,
@@ -162,7 +162,7 @@
             self._report_period_ms,
             self._group.send,
         )
-        self._metrics = GatewayMetrics(self.clock, self._site.belief)
+        self._metrics = GatewayMetrics(self.clock, self._site.configuration_age)
         client = EndpointClient(
             self.reactor, self.clock, self._live_settings, self.endpoints, self.link
         )
@@ -170,7 +170,7 @@
         gate = QuarantineGate(
             self.clock,
             quarantine,
-            self._group.tell_suspects,
+            self._group.send_suspects,
             self._suspect_keeper.touched,
         )
         context = GatewayContext(
@@ -203,7 +203,7 @@
         self._dispatcher = Dispatcher(
             context,
             reports,
-            Successors(context, reports),
+            SuccessorLookup(context, reports),
             self.callers,
             self.shutdown,
             lambda: self._group.alone_in_zone,
@@ -227,26 +227,26 @@
                 Table.CONFIGURATION,
                 timers.configuration_hold_ms,
                 timers.configuration_gathering_ms,
-                site.take_configuration,
+                site.apply_configuration,
                 _ignore_outage,
                 self._start_hold.failed,
                 self._store_restored,
-                site.orders_proved,
+                site.record_orders_read,
             ),
             FollowedTable(
                 Table.ENDPOINTS,
                 timers.endpoints_hold_ms,
                 timers.endpoints_gathering_ms,
-                site.take_endpoints,
-                site.endpoints_back,
+                site.apply_endpoints,
+                site.prepare_after_outage,
                 self._start_hold.failed,
             ),
         )
 
-    def _make_follow_tasks(self, random: Random) -> list[FollowTask]:
+    def _make_follow_tasks(self, random: Random) -> list[TableWatchTask]:
         store_clock = StoreClock()
         return [
-            FollowTask(
+            TableWatchTask(
                 self.reactor,
                 self.clock,
                 random,
@@ -267,7 +267,7 @@
     def _store_restored(self) -> None:
         """The store was restored from an older copy and lacks the latest writes."""
         self._rollouts.store_restored()
-        self._suspect_keeper.store_restored(self._group.is_mine)
+        self._suspect_keeper.store_restored(self._group.is_assigned)
 
     # Starting.
 
@@ -304,7 +304,7 @@
     @property
     def ready(self) -> bool:
         """Whether the load balancer should send new connections to this instance."""
-        return self._site.ready and not self.shutdown.begun
+        return self._site.ready and not self.shutdown.has_begun
 
     def _readiness_page(self, path: str) -> StatusPage:
         if path != self.callers.readiness_path:
@@ -326,10 +326,10 @@
 
     async def stop(self) -> None:
         """Finish open requests within the grace period, then close."""
-        if self.shutdown.begun:
+        if self.shutdown.has_begun:
             return
         dispatcher, grace_ms = self._dispatcher, self._live_settings.timers.grace_ms
-        window = StopWindow.beginning(self.clock.now_ms(), grace_ms)
+        window = StopWindow.starting_at(self.clock.now_ms(), grace_ms)
         self.shutdown.window = window
         log_event("gateway_stopping", open_requests=dispatcher.open_requests)
         self._group.stop()
@@ -346,7 +346,7 @@
     def _is_draining(self, window: StopWindow) -> bool:
         """Whether to go on waiting; closes idle connections once no new ones come."""
         now_ms = self.clock.now_ms()
-        if now_ms < window.settled_ms:
+        if now_ms < window.balancer_settled_ms:
             return True
         self._connections.close_idle()
         return self._dispatcher.open_requests > 0 and now_ms < window.last_ms
--- a/src/coursekeel/gateway/_gauges.py
+++ b/src/coursekeel/gateway/_gauges.py
@@ -4,8 +4,8 @@
 from coursekeel.gateway._metrics import GatewayMetrics
 from coursekeel.gateway.admission._start_hold import StartHold
 from coursekeel.gateway.members._group import Group
-from coursekeel.gateway.site._follow_task import FollowTask
-from coursekeel.gateway.site._known_site import KnownSite
+from coursekeel.gateway.site._follow_task import TableWatchTask
+from coursekeel.gateway.site._site_state import SiteState
 from coursekeel.routing import Router
 from coursekeel.units import MS_PER_SECOND
 
@@ -16,10 +16,10 @@
     metrics: GatewayMetrics,
     group: Group,
     router: Router,
-    site: KnownSite,
+    site: SiteState,
     start_hold: StartHold,
     dispatcher: Dispatcher,
-    configuration_task: FollowTask,
+    configuration_task: TableWatchTask,
 ) -> None:
     """Add the gauges; ``configuration_task`` follows the configuration."""
     gauge = metrics.gauge
--- a/src/coursekeel/gateway/_metrics.py
+++ b/src/coursekeel/gateway/_metrics.py
@@ -11,9 +11,9 @@
 
 from attrs import define, field, frozen
 
-from coursekeel.forwarding import Belief
+from coursekeel.forwarding import ConfigurationAge
 from coursekeel.gateway._request import AdmittedRequest
-from coursekeel.gateway.admission._refusals import STOPS_ENDPOINTS, GatewayRefusal
+from coursekeel.gateway.admission._refusals import REQUEST_BARRED_CODE, GatewayRefusal
 from coursekeel.observe import LabelSets, Metrics, log_event
 from coursekeel.routing import EndpointLoad
 from coursekeel.runtime import Clock
@@ -32,13 +32,13 @@
     """A run that was lost; ``why`` is the reason.
 
     ``ran_ms``: time since its response headers arrived, None if they didn't.
-    ``gave_ms``: time since its first event. ``events``: the number of its events.
+    ``streamed_ms``: time since its first event. ``events``: the number of its events.
     """
 
     endpoint_id: str
     why: str
     ran_ms: float | None = None
-    gave_ms: float | None = None
+    streamed_ms: float | None = None
     events: int = 0
 
 
@@ -46,11 +46,11 @@
 class GatewayMetrics:
     """Logs and counts what happens to requests, runs and endpoints.
 
-    ``belief`` returns the version and age of the cached configuration.
+    ``configuration_age`` returns the version and age of the cached configuration.
     """
 
     clock: Clock
-    belief: Callable[[], Belief] = Belief
+    configuration_age: Callable[[], ConfigurationAge] = ConfigurationAge
     metrics: Metrics = field(factory=Metrics)
     _counter_label_sets: LabelSets = field(
         factory=lambda: LabelSets(_MAX_COUNTER_LABEL_SETS, kept=("outcome",))
@@ -90,7 +90,7 @@
             fields["first_ms"] = round(first_ms - call.arrived_ms)
         if ways:
             fields["ways"] = ",".join(ways)
-        if code == STOPS_ENDPOINTS:
+        if code == REQUEST_BARRED_CODE:
             fields["fingerprint"] = call.fingerprint
         log_event("request_ended", **fields)
 
@@ -117,11 +117,11 @@
 
     def barred(self, call: AdmittedRequest, barred_ms: float) -> None:
         """Record a request refused for ``barred_ms``: it crashed endpoints before."""
-        self._count_request(call.team_name, call.route.name, STOPS_ENDPOINTS)
+        self._count_request(call.team_name, call.route.name, REQUEST_BARRED_CODE)
         log_event(
             "request_refused",
             request=call.caller.request_id,
-            outcome=STOPS_ENDPOINTS,
+            outcome=REQUEST_BARRED_CODE,
             status=int(HTTPStatus.SERVICE_UNAVAILABLE),
             fingerprint=call.fingerprint,
             barred_ms=round(barred_ms),
@@ -155,14 +155,14 @@
         ``candidates`` is the number of endpoints to choose from. ``version`` is the
         endpoint's, if its pool has a rollout order.
         """
-        now_ms, belief = self.clock.now_ms(), self.belief()
+        now_ms, configuration_age = self.clock.now_ms(), self.configuration_age()
         fields: dict[str, Any] = {
             "request": call.caller.request_id,
             "endpoint": endpoint_id,
             "way": way,
-            "remaining_ms": round(call.due_ms - now_ms),
-            "configuration": belief.version,
-            "belief_age_ms": logged_age_ms(belief.age_ms),
+            "remaining_ms": round(call.deadline_ms - now_ms),
+            "configuration": configuration_age.version,
+            "belief_age_ms": logged_age_ms(configuration_age.age_ms),
         }
         if copy_id:
             fields["copy"] = copy_id
@@ -173,7 +173,7 @@
             fields["limit"] = int(load.limit.limit)
             fields["failing"] = round(load.failing, 2)
         if load is not None and load.report is not None:
-            fields["report_age_ms"] = round(now_ms - load.report.asked_ms)
+            fields["report_age_ms"] = round(now_ms - load.report.queried_ms)
             fields["reported_running"] = load.report.running
             fields["reported_queued"] = load.report.queued
         if candidates:
--- a/src/coursekeel/gateway/_request.py
+++ b/src/coursekeel/gateway/_request.py
@@ -22,9 +22,9 @@
     """A request that may be sent to an endpoint of ``pool``.
 
     ``target`` is the request's path and query, ``received`` the caller's headers with
-    lower-case names, ``caller`` those parsed. ``due_ms`` is the deadline of its answer,
-    on this process's clock. ``copies``: whether the pool's endpoints keep copies of
-    runs.
+    lower-case names, ``caller`` those parsed. ``deadline_ms`` is the deadline of its
+    answer, on this process's clock. ``copies``: whether the pool's endpoints keep
+    copies of runs.
     """
 
     method: bytes
@@ -38,7 +38,7 @@
     copies: bool
     team: Team | None
     arrived_ms: float
-    due_ms: float
+    deadline_ms: float
 
     @property
     def team_name(self) -> str:
--- a/src/coursekeel/gateway/_retry_budgets.py
+++ b/src/coursekeel/gateway/_retry_budgets.py
@@ -5,7 +5,7 @@
 again. A send that certainly reached no endpoint costs nothing.
 
 All instances together may send ``ratio`` of a pool's requests plus ``slack`` retries in
-a window (`RetryShare`). Each instance has a part of that:
+a window (`RetryBudgetSettings`). Each instance has a part of that:
 
 - its own requests earn it slightly less than half of the ratio, since retries spent in
   one window may have been earned in that window or in the one before;
@@ -32,7 +32,7 @@
 from coursekeel.gateway._live_settings import LiveSettings
 from coursekeel.routing import WindowBudget
 from coursekeel.runtime import Clock
-from coursekeel.settings import RetryShare
+from coursekeel.settings import RetryBudgetSettings
 from coursekeel.units import MS_PER_SECOND
 
 __all__ = ["RetryBudgets", "SendAccount", "instance_budget", "resize_budget"]
@@ -138,7 +138,7 @@
 
 
 def instance_budget(
-    share: RetryShare, random: Random, instances: int = _DEFAULT_INSTANCES
+    share: RetryBudgetSettings, random: Random, instances: int = _DEFAULT_INSTANCES
 ) -> WindowBudget:
     """One instance's part of a budget that all instances share.
 
@@ -153,17 +153,19 @@
     return budget
 
 
-def resize_budget(budget: WindowBudget, share: RetryShare, instances: int) -> None:
+def resize_budget(
+    budget: WindowBudget, share: RetryBudgetSettings, instances: int
+) -> None:
     """Set a budget's part for a number of instances; savings above it are dropped."""
     refill_per_s = _REFILLED_SHARE * _slack_part(share, instances) / share.window_s
     budget.fit(_max_reserve(share, instances), refill_per_s)
 
 
-def _max_reserve(share: RetryShare, instances: int) -> float:
+def _max_reserve(share: RetryBudgetSettings, instances: int) -> float:
     return (1 - _REFILLED_SHARE) * _slack_part(share, instances)
 
 
-def _slack_part(share: RetryShare, instances: int) -> float:
+def _slack_part(share: RetryBudgetSettings, instances: int) -> float:
     kept_back = min(
         _VARIANCE_FACTOR * sqrt(instances), _MAX_VARIANCE_SHARE * share.slack
     )
--- a/src/coursekeel/gateway/admission/_admission.py
+++ b/src/coursekeel/gateway/admission/_admission.py
@@ -18,28 +18,28 @@
 
 from coursekeel.forwarding import Route, RouteTable, Team
 from coursekeel.gateway.admission._refusals import (
-    NOT_YET_RETRY_MS,
+    NOT_READY_RETRY_MS,
     OTHER_INSTANCE_RETRY_MS,
     GatewayRefusal,
 )
 from coursekeel.gateway.admission._stop_window import StopWindow
-from coursekeel.gateway.admission._stream_lengths import StreamLengths
+from coursekeel.gateway.admission._stream_lengths import StreamDurations
 
-__all__ = ["Admission", "Admitted", "Arrival", "admit"]
+__all__ = ["AdmissionState", "Admitted", "RequestKey", "admit"]
 
 _UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
 _STALE_CONFIGURATION = GatewayRefusal(
     _UNAVAILABLE, "belief_old", OTHER_INSTANCE_RETRY_MS
 )
 _STOPPING = GatewayRefusal(_UNAVAILABLE, "stopping", OTHER_INSTANCE_RETRY_MS)
-_NO_ROUTES = GatewayRefusal(_UNAVAILABLE, "no_configuration", NOT_YET_RETRY_MS)
-_TOO_MANY_OPEN = GatewayRefusal(_UNAVAILABLE, "too_many_open", NOT_YET_RETRY_MS)
+_NO_ROUTES = GatewayRefusal(_UNAVAILABLE, "no_configuration", NOT_READY_RETRY_MS)
+_TOO_MANY_OPEN = GatewayRefusal(_UNAVAILABLE, "too_many_open", NOT_READY_RETRY_MS)
 _NO_ROUTE = GatewayRefusal(HTTPStatus.NOT_FOUND, "no_route")
 _UNKNOWN_KEY = GatewayRefusal(HTTPStatus.UNAUTHORIZED, "unknown_key")
 
 
 @frozen
-class Arrival:
+class RequestKey:
     """The parts of a request that admission checks; ``host`` without its port."""
 
     host: str
@@ -56,7 +56,7 @@
 
 
 @frozen
-class Admission:
+class AdmissionState:
     """An instance's state at one time, as far as admission depends on it.
 
     ``age_ms`` is the time since the cached routes and keys were last confirmed by a
@@ -73,7 +73,7 @@
     max_open_requests: int
     stop: StopWindow | None
     now_ms: float
-    lengths: StreamLengths = field(factory=StreamLengths)
+    lengths: StreamDurations = field(factory=StreamDurations)
     alone_in_zone: bool = False
 
     @property
@@ -82,7 +82,7 @@
         return self.age_ms <= self.max_unknown_age_ms
 
 
-def admit(arrival: Arrival, state: Admission) -> Admitted | GatewayRefusal:
+def admit(arrival: RequestKey, state: AdmissionState) -> Admitted | GatewayRefusal:
     """Admit a request, or return the refusal to send."""
     if state.routes is None:
         return _NO_ROUTES
@@ -102,7 +102,7 @@
 
 
 def _check_stop_window(
-    admitted: Admitted, state: Admission
+    admitted: Admitted, state: AdmissionState
 ) -> Admitted | GatewayRefusal:
     """Refuse a request that can't be answered before the instance stops.
 
@@ -114,5 +114,5 @@
         return admitted
     if not state.alone_in_zone:
         return _STOPPING
-    settled_ms = stop.settled_ms - state.now_ms
+    settled_ms = stop.balancer_settled_ms - state.now_ms
     return evolve(_STOPPING, retry_after_ms=max(settled_ms, OTHER_INSTANCE_RETRY_MS))
--- a/src/coursekeel/gateway/admission/_queue_deadline.py
+++ b/src/coursekeel/gateway/admission/_queue_deadline.py
@@ -17,4 +17,4 @@
 
 def queue_deadline_ms(call: AdmittedRequest, now_ms: float) -> float:
     """Return the time in ms, on this process's clock, when a wait ends in a refusal."""
-    return min(call.due_ms, now_ms + _QUEUE_SHARE_OF_TARGET * call.route.target_ms)
+    return min(call.deadline_ms, now_ms + _QUEUE_SHARE_OF_TARGET * call.route.target_ms)
--- a/src/coursekeel/gateway/admission/_refusals.py
+++ b/src/coursekeel/gateway/admission/_refusals.py
@@ -18,9 +18,9 @@
 from coursekeel.answers import RunState
 
 __all__ = [
-    "NOT_YET_RETRY_MS",
+    "NOT_READY_RETRY_MS",
     "OTHER_INSTANCE_RETRY_MS",
-    "STOPS_ENDPOINTS",
+    "REQUEST_BARRED_CODE",
     "STREAM_RETRY_MS",
     "WHOLE_RETRY_MS",
     "GatewayRefusal",
@@ -32,7 +32,7 @@
 
 # The code of the reply to a barred request; the same as for answers that end because
 # their runs crashed one after the other (`answers/_recovery.py`).
-STOPS_ENDPOINTS = "request_stops_engines"
+REQUEST_BARRED_CODE = "request_stops_engines"
 
 # Another instance can probably serve the request now: this one's configuration is too
 # old, it is stopping, or its share of the retry budget is spent.
@@ -48,7 +48,7 @@
 # The instance itself can't serve now: no configuration, no pool of that name, too many
 # open requests. About the time that reading a configuration takes (the delay after a
 # failed read is 150 to 600 ms).
-NOT_YET_RETRY_MS = 300.0
+NOT_READY_RETRY_MS = 300.0
 
 # For causes common to all instances: no configuration after a start, or no endpoint of
 # the pool listed. Callers retry only a few times, and an outage takes seconds. So the
@@ -72,7 +72,7 @@
     if code not in _SHARED_CAUSE_CODES:
         return usual_ms
     spread = 1 - _OUTAGE_SPREAD / 2 + _OUTAGE_SPREAD * random.random()
-    return max(NOT_YET_RETRY_MS, outage_wait_ms(time_ms) * spread)
+    return max(NOT_READY_RETRY_MS, outage_wait_ms(time_ms) * spread)
 
 
 def outage_wait_ms(time_ms: float | None) -> float:
--- a/src/coursekeel/gateway/admission/_start_hold.py
+++ b/src/coursekeel/gateway/admission/_start_hold.py
@@ -14,12 +14,12 @@
 
 from attrs import define, field
 
-__all__ = ["FirstReadings", "StartHold"]
+__all__ = ["FirstReads", "StartHold"]
 
 _Resume = Callable[[], None]
 
 
-class FirstReadings(Enum):
+class FirstReads(Enum):
     """The state of this instance's first reads of its tables."""
 
     COMING = "coming"
@@ -31,7 +31,7 @@
 class StartHold:
     """The held requests; each one's ``resume`` is called once, unless withdrawn."""
 
-    state: FirstReadings = FirstReadings.COMING
+    state: FirstReads = FirstReads.COMING
     _waiting: dict[int, _Resume] = field(factory=dict)
     _last_number: int = 0
 
@@ -56,13 +56,13 @@
 
     def known(self) -> None:
         """Resume all held requests: both tables are loaded."""
-        self.state = FirstReadings.KNOWN
+        self.state = FirstReads.KNOWN
         self._release_all()
 
     def failed(self) -> None:
         """Resume all held requests, which are refused: a first read failed."""
-        if self.state is FirstReadings.COMING:
-            self.state = FirstReadings.FAILED
+        if self.state is FirstReads.COMING:
+            self.state = FirstReads.FAILED
             self._release_all()
 
     def _release_all(self) -> None:
--- a/src/coursekeel/gateway/admission/_stop_window.py
+++ b/src/coursekeel/gateway/admission/_stop_window.py
@@ -6,8 +6,8 @@
 finish, because a stream that is cut starts again elsewhere. Idle kept-alive connections
 are closed once the balancer has noticed.
 
-Owns the times of the stop. Relies on the grace of the settings, and on `StreamLengths`
-for the duration of streams.
+Owns the times of the stop. Relies on the grace of the settings, and on
+`StreamDurations` for the duration of streams.
 """
 
 from attrs import define, frozen
@@ -35,16 +35,16 @@
 class StopWindow:
     """The times of a stop, in ms of this process's clock.
 
-    Until ``settled_ms`` the balancer may still send new connections here; answers that
-    are open at ``last_ms`` are cut.
+    Until ``balancer_settled_ms`` the balancer may still send new connections here;
+    answers that are open at ``last_ms`` are cut.
     """
 
     started_ms: float
-    settled_ms: float
+    balancer_settled_ms: float
     last_ms: float
 
     @classmethod
-    def beginning(cls, now_ms: float, grace_ms: float) -> "StopWindow":
+    def starting_at(cls, now_ms: float, grace_ms: float) -> "StopWindow":
         """Return the window of a stop that begins now and lasts ``grace_ms``."""
         settle_ms = min(_BALANCER_SETTLE_MS, _MAX_SETTLE_SHARE * grace_ms)
         last_ms = now_ms + (1 - _EXIT_SHARE) * grace_ms
@@ -63,7 +63,10 @@
                 return now_ms + stream_estimate_ms <= self.last_ms
             grace_ms = self.last_ms - self.started_ms
             return now_ms - self.started_ms <= _STREAM_START_SHARE * grace_ms
-        return now_ms <= self.settled_ms or now_ms + route.timeout_ms <= self.last_ms
+        return (
+            now_ms <= self.balancer_settled_ms
+            or now_ms + route.timeout_ms <= self.last_ms
+        )
 
 
 @define
@@ -73,6 +76,6 @@
     window: StopWindow | None = None
 
     @property
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether the stop has begun."""
         return self.window is not None
--- a/src/coursekeel/gateway/admission/_stream_lengths.py
+++ b/src/coursekeel/gateway/admission/_stream_lengths.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-__all__ = ["StreamLengths"]
+__all__ = ["StreamDurations"]
 
 # Weight of the newest stream in the moving averages, which so span about 20 streams.
 _NEWEST_WEIGHT = 0.1
@@ -22,7 +22,7 @@
 
 
 @define
-class StreamLengths:
+class StreamDurations:
     """Duration estimates by route name."""
 
     _by_route: dict[str, _DurationEstimate] = field(factory=dict)
--- a/src/coursekeel/gateway/endpoints/_crash_watch.py
+++ b/src/coursekeel/gateway/endpoints/_crash_watch.py
@@ -23,7 +23,7 @@
     ProbeFailureKind,
     ProbeResult,
 )
-from coursekeel.gateway.site._known_site import KnownSite
+from coursekeel.gateway.site._site_state import SiteState
 from coursekeel.reactor import Reactor
 from coursekeel.runtime import Clock
 from coursekeel.suspects import LostRuns, QuarantineGate, Suspect, sign_of
@@ -38,7 +38,7 @@
     reactor: Reactor
     clock: Clock
     settings: LiveSettings
-    site: KnownSite
+    site: SiteState
     client: EndpointClient
     health: EndpointHealth
     gate: QuarantineGate
@@ -51,9 +51,9 @@
 
         A run that sent events for long enough proves its request sound instead.
         """
-        sign = sign_of(lost.ran_ms, lost.gave_ms)
+        sign = sign_of(lost.ran_ms, lost.streamed_ms)
         if sign is None:
-            self.gate.proved_sound(call)
+            self.gate.report_success(call)
             return
         record = self.site.directory.record(lost.endpoint_id)
         if record is None or record.leaving:
@@ -75,7 +75,7 @@
         ).start()
 
     def _probe_ended(self, endpoint_id: str, result: ProbeResult) -> None:
-        suspects = self._lost_runs.taken(endpoint_id)
+        suspects = self._lost_runs.pop(endpoint_id)
         gives_reports = endpoint_id in self._reporting_endpoints
         self._reporting_endpoints.discard(endpoint_id)
         if not isinstance(result, ProbeFailure) or not _confirms_crash(
@@ -84,7 +84,7 @@
             return
         self.health.unreachable(endpoint_id, result.reason)
         self.metrics.endpoint_ended(endpoint_id, [x.fingerprint for x in suspects])
-        self.gate.struck(endpoint_id, suspects)
+        self.gate.report_crash(endpoint_id, suspects)
 
 
 def _confirms_crash(result: ProbeFailure, gives_reports: bool) -> bool:
--- a/src/coursekeel/gateway/endpoints/_endpoint_client.py
+++ b/src/coursekeel/gateway/endpoints/_endpoint_client.py
@@ -50,7 +50,7 @@
         """Send a caller's request; its headers carry the time left when it is sent."""
 
         def headers() -> Sequence[tuple[bytes, bytes]]:
-            remaining_ms = call.due_ms - self.clock.now_ms()
+            remaining_ms = call.deadline_ms - self.clock.now_ms()
             current = evolve(outbound, remaining_ms=remaining_ms)
             return self.dialect.headers(call.received, current)
 
--- a/src/coursekeel/gateway/endpoints/_endpoint_health.py
+++ b/src/coursekeel/gateway/endpoints/_endpoint_health.py
@@ -11,7 +11,7 @@
 from attrs import define
 
 from coursekeel.gateway._metrics import GatewayMetrics
-from coursekeel.gateway.site._known_site import KnownSite
+from coursekeel.gateway.site._site_state import SiteState
 from coursekeel.routing import Router
 from coursekeel.runtime import Clock
 
@@ -23,7 +23,7 @@
     """Reports endpoints that failed this instance's requests."""
 
     clock: Clock
-    site: KnownSite
+    site: SiteState
     router: Router
     metrics: GatewayMetrics
 
@@ -31,7 +31,7 @@
         """Eject an endpoint that couldn't be reached; ``reason`` is for the log."""
         now_ms = self.clock.now_ms()
         directory = self.site.directory
-        ejected_ms = directory.failed(endpoint_id, now_ms)
+        ejected_ms = directory.eject(endpoint_id, now_ms)
         record = directory.record(endpoint_id)
         if record is not None:
             self.router.endpoints.lost(record.pool, endpoint_id, now_ms)
@@ -40,7 +40,7 @@
     def replaced(self, endpoint_id: str) -> None:
         """Eject an endpoint for good: another incarnation has its address."""
         self.metrics.ejected(endpoint_id, "replaced", 0.0)
-        self.site.endpoint_replaced(endpoint_id)
+        self.site.mark_replaced(endpoint_id)
 
     def run_lost(self, pool: str, endpoint_id: str) -> None:
         """Report a lost run to routing, as the endpoint's zone may be failing."""
--- a/src/coursekeel/gateway/endpoints/_lived_silences.py
+++ b/src/coursekeel/gateway/endpoints/_lived_silences.py
@@ -7,14 +7,14 @@
 
 from attrs import define, field
 
-__all__ = ["LivedSilences"]
+__all__ = ["StallHistory"]
 
 # How long such a report counts: bursts of long prompts last some seconds.
 _RECENT_MS = 30_000.0
 
 
 @define(eq=False)
-class LivedSilences:
+class StallHistory:
     """When an endpoint of each pool was last found alive during a stall."""
 
     _alive_ms: dict[str, float] = field(factory=dict)
--- a/src/coursekeel/gateway/endpoints/_load_reports.py
+++ b/src/coursekeel/gateway/endpoints/_load_reports.py
@@ -69,7 +69,9 @@
         def probe_ended(endpoint_id: str, result: ProbeResult) -> None:
             pending.discard(endpoint_id)
             if isinstance(result, ProbeResponse) and result.status == HTTPStatus.OK:
-                cached_keys = self.context.endpoints.dialect.read_kept(result.body)
+                cached_keys = self.context.endpoints.dialect.read_cached_prompts(
+                    result.body
+                )
                 if prompt_key in cached_keys:
                     cached_at.add(endpoint_id)
             if not pending:
@@ -79,7 +81,7 @@
             on_done(frozenset())
         for record in records:
             if record is not None:
-                call = self.context.endpoints.dialect.kept_prompts
+                call = self.context.endpoints.dialect.cached_prompts
                 on_result = partial(probe_ended, record.endpoint_id)
                 self._probe(record, call, on_result).start()
 
@@ -145,10 +147,10 @@
             report.queued,
             record.slots,
             requested_ms,
-            report.unread_runs,
+            report.prefill_pending_runs,
             report.free_tokens,
         )
-        self.context.routing.reported(load)
+        self.context.routing.apply_report(load)
 
 
 def _log_unreadable(endpoint_id: str, report: UnreadableReport) -> None:
--- a/src/coursekeel/gateway/members/_group.py
+++ b/src/coursekeel/gateway/members/_group.py
@@ -110,8 +110,8 @@
                     Table.ENDPOINTS: timers.shared_endpoints_hold_ms,
                 },
                 {
-                    Table.CONFIGURATION: timers.configuration_peace_ms,
-                    Table.ENDPOINTS: timers.endpoints_peace_ms,
+                    Table.CONFIGURATION: timers.usual_configuration_age_ms,
+                    Table.ENDPOINTS: timers.usual_endpoints_age_ms,
                 },
             ),
             lambda table: self.feeds[table].requested_recently(),
@@ -120,7 +120,9 @@
 
     def _confirmed_times_ms(self) -> dict[str, float]:
         """The local time of the last confirmation of each table, by table name."""
-        return {table.value: self.freshness.proven_ms(table.value) for table in Table}
+        return {
+            table.value: self.freshness.confirmed_ms(table.value) for table in Table
+        }
 
     def start(self) -> None:
         """Join the group; does nothing without a peer address."""
@@ -136,13 +138,13 @@
         """Send an encoded datagram to the member at ``address``."""
         self._task.send(address, data)
 
-    def tell_suspects(self, records: list[SuspectRecord]) -> None:
+    def send_suspects(self, records: list[SuspectRecord]) -> None:
         """Send this instance's records of suspect requests to all members."""
-        self._task.tell_suspects(records)
+        self._task.send_suspects(records)
 
-    def is_mine(self, name: str) -> bool:
+    def is_assigned(self, name: str) -> bool:
         """Whether this instance runs the group-wide task ``name``."""
-        return not self.swim.own or self.swim.chosen(name) == [self.swim.own]
+        return not self.swim.own or self.swim.members_for(name) == [self.swim.own]
 
     @property
     def members(self) -> int | None:
@@ -167,8 +169,8 @@
         table = Table.CONFIGURATION
         if not self.feeds[table].failing:
             return False
-        if not self.swim.in_touch(self.clock.now_ms()):
+        if not self.swim.reaches_majority(self.clock.now_ms()):
             return False
-        own_ms = self.freshness.proven_ms(table.value)
-        _, freshest_ms = self.swim.freshest(table.value)
+        own_ms = self.freshness.confirmed_ms(table.value)
+        _, freshest_ms = self.swim.latest_confirmation(table.value)
         return freshest_ms - own_ms < _NEWER_BY_MS
--- a/src/coursekeel/gateway/members/_group_task.py
+++ b/src/coursekeel/gateway/members/_group_task.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from coursekeel.canary import (
-    CANARY_MARK,
+    ROLLOUT_PREFIX,
     RolloutMessage,
     UnreadableRollout,
     decode_rollout,
@@ -29,7 +29,7 @@
 )
 from coursekeel.observe import log_event
 from coursekeel.quarantine import (
-    MARK,
+    QUARANTINE_PREFIX,
     QuarantineEvent,
     QuarantineGossip,
     QuarantineMessage,
@@ -89,13 +89,13 @@
 
     async def _tick(self) -> None:
         for table, confirmed_ms in self.confirmed_times_ms().items():
-            self.swim.proved(table, confirmed_ms)
+            self.swim.record_confirmation(table, confirmed_ms)
         now_ms = self.clock.now_ms()
         self._send(self.swim.tick(now_ms))
         self.gossip.quarantine.forget(now_ms)
         self._log_events()
 
-    def tell_suspects(self, records: list[SuspectRecord]) -> None:
+    def send_suspects(self, records: list[SuspectRecord]) -> None:
         """Send this instance's records of suspect requests to all members."""
         if self.transport is not None:
             self._send_quarantine(self.gossip.learned(records, self.clock.now_ms()))
@@ -107,10 +107,10 @@
             self._write(address, data)
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
-        if data.startswith(CANARY_MARK):
+        if data.startswith(ROLLOUT_PREFIX):
             self._receive_rollout(data, addr)
             return
-        marked = data.startswith(MARK)
+        marked = data.startswith(QUARANTINE_PREFIX)
         message = decode_quarantine(data) if marked else decode_message(data)
         fault = self._fault_of(message, addr)
         if fault:
@@ -120,7 +120,7 @@
         if isinstance(message, SwimMessage):
             self._send(self.swim.received(message, now_ms))
             self._send_quarantine(
-                self.gossip.heard_digest(message.sender, message.suspects)
+                self.gossip.receive_digest(message.sender, message.suspects)
             )
         elif isinstance(message, QuarantineMessage):
             self._send_quarantine(self.gossip.received(message, now_ms))
--- a/src/coursekeel/gateway/members/_member_reader.py
+++ b/src/coursekeel/gateway/members/_member_reader.py
@@ -10,13 +10,13 @@
 from attrs import define, frozen
 
 from coursekeel.fetch import Fetcher, HttpReply
-from coursekeel.forwarding import StoreMoment
+from coursekeel.forwarding import StorePosition
 from coursekeel.gateway._adapters import Table
 from coursekeel.gateway.members._peer_server import TABLES_PATH
 from coursekeel.gateway.members._reading_codec import (
-    RelayedReading,
-    UnreadableReading,
-    decode_reading,
+    RelayedTableRead,
+    UnreadableTableRead,
+    decode_table_read,
 )
 
 __all__ = ["MemberFailed", "MemberReader", "NothingNewer"]
@@ -49,10 +49,10 @@
         self,
         address: str,
         table: Table,
-        since: StoreMoment | None,
+        since: StorePosition | None,
         wait_ms: float,
         timeout_ms: float,
-    ) -> RelayedReading | NothingNewer | MemberFailed:
+    ) -> RelayedTableRead | NothingNewer | MemberFailed:
         """Request a table's changes after ``since``, or the whole table if it is None.
 
         The member may hold the request for ``wait_ms``; the response must begin within
@@ -65,14 +65,14 @@
 
     async def request_configuration_above(
         self, address: str, version: int, timeout_ms: float
-    ) -> RelayedReading | NothingNewer | MemberFailed:
+    ) -> RelayedTableRead | NothingNewer | MemberFailed:
         """Request the configuration if the member's is later than ``version``."""
         query = f"wait_ms=0&above={version}"
         return await self._get(address, Table.CONFIGURATION, query, timeout_ms)
 
     async def _get(
         self, address: str, table: Table, query: str, timeout_ms: float
-    ) -> RelayedReading | NothingNewer | MemberFailed:
+    ) -> RelayedTableRead | NothingNewer | MemberFailed:
         group = quote(self.group, safe="")
         url = f"http://{address}{TABLES_PATH}{table.value}?group={group}&{query}"
         outcome = await self.fetcher.ask("GET", url, timeout_ms)
@@ -82,7 +82,7 @@
             return NothingNewer()
         if outcome.status != HTTPStatus.OK:
             return MemberFailed(f"status {outcome.status}")
-        reading = decode_reading(outcome.body)
-        if isinstance(reading, UnreadableReading):
-            return MemberFailed(f"unreadable response: {reading.fault}")
-        return reading
+        table_read = decode_table_read(outcome.body)
+        if isinstance(table_read, UnreadableTableRead):
+            return MemberFailed(f"unreadable response: {table_read.fault}")
+        return table_read
--- a/src/coursekeel/gateway/members/_peer_server.py
+++ b/src/coursekeel/gateway/members/_peer_server.py
@@ -20,7 +20,7 @@
 
 from attrs import define, field, frozen
 
-from coursekeel.forwarding import RequestLimits, StoreMoment
+from coursekeel.forwarding import RequestLimits, StorePosition
 from coursekeel.gateway._adapters import Table
 from coursekeel.gateway._http import (
     CallerRequest,
@@ -29,7 +29,7 @@
     caller_server,
     send_page,
 )
-from coursekeel.gateway.members._reading_codec import ReadingEncoder, RelayedReading
+from coursekeel.gateway.members._reading_codec import RelayedTableRead, TableReadEncoder
 from coursekeel.gateway.members._table_feed import FeedAnswer, TableFeed
 from coursekeel.observe import log_event
 
@@ -50,7 +50,7 @@
 class _TableRequest:
     table: Table
     group: str
-    since: StoreMoment | None
+    since: StorePosition | None
     above: int | None
     wait_ms: int
 
@@ -61,8 +61,8 @@
 
     group: str
     feeds: dict[Table, TableFeed]
-    _encoders: dict[Table, ReadingEncoder] = field(
-        factory=lambda: {table: ReadingEncoder() for table in Table}
+    _encoders: dict[Table, TableReadEncoder] = field(
+        factory=lambda: {table: TableReadEncoder() for table in Table}
     )
 
     def site(self) -> object:
@@ -84,7 +84,7 @@
 
     def _answer(self, request: CallerRequest, table_request: _TableRequest) -> None:
         def send_answer(answer: FeedAnswer) -> None:
-            if isinstance(answer, RelayedReading):
+            if isinstance(answer, RelayedTableRead):
                 _send_reading(request, encoder.encode(answer))
             else:
                 send_page(request, StatusPage(HTTPStatus.NOT_FOUND, b"nothing newer"))
@@ -116,7 +116,7 @@
     return _TableRequest(
         Table(path.removeprefix(TABLES_PATH)),
         query["group"][0],
-        StoreMoment.parse(since[0]) if since else None,
+        StorePosition.parse(since[0]) if since else None,
         int(above[0]) if above else None,
         max(0, min(int(query["wait_ms"][0]), _MAX_WAIT_MS)),
     )
--- a/src/coursekeel/gateway/members/_reading_codec.py
+++ b/src/coursekeel/gateway/members/_reading_codec.py
@@ -23,25 +23,25 @@
     PoolShare,
     RequestLimits,
     Route,
-    StoreMoment,
+    StorePosition,
     Team,
 )
-from coursekeel.gateway._adapters import Removed, UnreadableEntry, Versioned
+from coursekeel.gateway._adapters import Removed, UnreadableEntry, VersionedEntry
 from coursekeel.strict import faults_of, strict_converter
 
 __all__ = [
-    "ReadingEncoder",
-    "RelayedReading",
-    "UnreadableReading",
-    "decode_reading",
-    "encode_reading",
+    "RelayedTableRead",
+    "TableReadEncoder",
+    "UnreadableTableRead",
+    "decode_table_read",
+    "encode_table_read",
 ]
 
 _MAX_FAULT_CHARACTERS = 200
 
 
 @frozen
-class RelayedReading:
+class RelayedTableRead:
     """A member's copy of a table, or the changes of it that were requested.
 
     ``held_ms`` is how long the member held the request, and ``age_ms`` the age of its
@@ -50,16 +50,16 @@
     table, not changes.
     """
 
-    moment: StoreMoment
+    position: StorePosition
     whole: bool
     held_ms: float
     age_ms: float
     failing: bool
-    entries: tuple[Versioned, ...]
+    entries: tuple[VersionedEntry, ...]
 
 
 @frozen
-class UnreadableReading:
+class UnreadableTableRead:
     """A response that can't be decoded; ``fault`` names the field and the error."""
 
     fault: str
@@ -69,7 +69,7 @@
 class _EntryForm:
     """One entry; exactly one of the last five fields is set."""
 
-    moment: StoreMoment
+    moment: StorePosition
     configuration: ForwardingConfiguration | None = None
     endpoint: EndpointRecord | None = None
     order: RolloutOrder | None = None
@@ -79,9 +79,9 @@
 
 @frozen
 class _ReadingForm:
-    """The decoded form of a response; `ReadingEncoder` writes the same fields."""
+    """The decoded form of a response; `TableReadEncoder` writes the same fields."""
 
-    moment: StoreMoment
+    moment: StorePosition
     whole: bool
     held_ms: float
     age_ms: float
@@ -90,7 +90,7 @@
 
 
 _CONVERTER = strict_converter(
-    StoreMoment,
+    StorePosition,
     PoolShare,
     Route,
     Pool,
@@ -107,34 +107,37 @@
 
 
 @define(eq=False)
-class ReadingEncoder:
+class TableReadEncoder:
     """Encodes responses for one table, and caches the last encoded rows."""
 
-    _cached_entries: tuple[Versioned, ...] = ()
+    _cached_entries: tuple[VersionedEntry, ...] = ()
     _encoded_entries: orjson.Fragment = field(factory=lambda: orjson.Fragment(b"[]"))
 
-    def encode(self, reading: RelayedReading) -> bytes:
+    def encode(self, table_read: RelayedTableRead) -> bytes:
         """The body of a response."""
-        if reading.entries != self._cached_entries:
-            self._encoded_entries = orjson.Fragment(_encode_entries(reading.entries))
-            self._cached_entries = reading.entries
+        if table_read.entries != self._cached_entries:
+            self._encoded_entries = orjson.Fragment(_encode_entries(table_read.entries))
+            self._cached_entries = table_read.entries
         form = {
-            "moment": {"era": reading.moment.era, "version": reading.moment.version},
-            "whole": reading.whole,
-            "held_ms": reading.held_ms,
-            "age_ms": reading.age_ms,
-            "failing": reading.failing,
+            "moment": {
+                "era": table_read.position.era,
+                "version": table_read.position.version,
+            },
+            "whole": table_read.whole,
+            "held_ms": table_read.held_ms,
+            "age_ms": table_read.age_ms,
+            "failing": table_read.failing,
             "entries": self._encoded_entries,
         }
         return orjson.dumps(form)
 
 
-def encode_reading(reading: RelayedReading) -> bytes:
+def encode_table_read(table_read: RelayedTableRead) -> bytes:
     """The body of a response, without a cache of its rows."""
-    return ReadingEncoder().encode(reading)
+    return TableReadEncoder().encode(table_read)
 
 
-def _encode_entries(entries: tuple[Versioned, ...]) -> bytes:
+def _encode_entries(entries: tuple[VersionedEntry, ...]) -> bytes:
     forms = [
         attrs.asdict(
             _form_from_versioned(versioned),
@@ -146,35 +149,35 @@
     return orjson.dumps(forms)
 
 
-def decode_reading(body: bytes) -> RelayedReading | UnreadableReading:
+def decode_table_read(body: bytes) -> RelayedTableRead | UnreadableTableRead:
     """Decode the body of a response; never raises."""
     try:
         form = _CONVERTER.structure(orjson.loads(body), _ReadingForm)
         entries = tuple(_versioned_from_form(entry_form) for entry_form in form.entries)
     except Exception as failure:  # any malformed input becomes a value
         faults = "; ".join(faults_of(failure, whole="reading"))
-        return UnreadableReading(faults[:_MAX_FAULT_CHARACTERS])
-    return RelayedReading(
+        return UnreadableTableRead(faults[:_MAX_FAULT_CHARACTERS])
+    return RelayedTableRead(
         form.moment, form.whole, form.held_ms, form.age_ms, form.failing, entries
     )
 
 
-def _form_from_versioned(versioned: Versioned) -> _EntryForm:
-    entry, moment = versioned.entry, versioned.moment
+def _form_from_versioned(versioned: VersionedEntry) -> _EntryForm:
+    entry, position = versioned.entry, versioned.position
     match entry:
         case ForwardingConfiguration():
-            return _EntryForm(moment, configuration=entry)
+            return _EntryForm(position, configuration=entry)
         case EndpointRecord():
-            return _EntryForm(moment, endpoint=entry)
+            return _EntryForm(position, endpoint=entry)
         case RolloutOrder():
-            return _EntryForm(moment, order=entry)
+            return _EntryForm(position, order=entry)
         case Removed():
-            return _EntryForm(moment, removed=entry)
+            return _EntryForm(position, removed=entry)
         case UnreadableEntry():
-            return _EntryForm(moment, unreadable=entry)
+            return _EntryForm(position, unreadable=entry)
 
 
-def _versioned_from_form(form: _EntryForm) -> Versioned:
+def _versioned_from_form(form: _EntryForm) -> VersionedEntry:
     fields = (
         form.configuration,
         form.endpoint,
@@ -185,7 +188,7 @@
     entries = [entry for entry in fields if entry is not None]
     if len(entries) != 1:
         raise ValueError(f"got {len(entries)} kinds of entry, expected 1")
-    return Versioned(entries[0], form.moment)
+    return VersionedEntry(entries[0], form.moment)
 
 
 def _is_set(_field: Any, value: Any) -> bool:
--- a/src/coursekeel/gateway/members/_shared_source.py
+++ b/src/coursekeel/gateway/members/_shared_source.py
@@ -27,21 +27,21 @@
 import xxhash
 from attrs import define, evolve, field, frozen
 
-from coursekeel.forwarding import Freshness, StoreMoment
+from coursekeel.forwarding import Freshness, StorePosition
 from coursekeel.gateway._adapters import (
-    HistoryGone,
-    Reading,
+    HistoryExpired,
     Source,
     SourceFailed,
-    StoreQuestion,
+    StoreQuery,
     Table,
+    TableRead,
 )
 from coursekeel.gateway.members._member_reader import (
     MemberFailed,
     MemberReader,
     NothingNewer,
 )
-from coursekeel.gateway.members._reading_codec import RelayedReading
+from coursekeel.gateway.members._reading_codec import RelayedTableRead
 from coursekeel.group import Swim
 from coursekeel.observe import log_event
 from coursekeel.runtime import Clock
@@ -69,7 +69,7 @@
 # nothing newer is avoided.
 _MEMBERS_REACHED_MS = 2_500.0
 
-_Outcome = Reading | HistoryGone | SourceFailed
+_Outcome = TableRead | HistoryExpired | SourceFailed
 
 
 @frozen
@@ -107,7 +107,7 @@
 class SharedSource(Source):
     """A source that reads from members where it can, and else from the store.
 
-    Each table has one `FollowTask`, so that its queries never overlap.
+    Each table has one `TableWatchTask`, so that its queries never overlap.
     ``requested_recently`` says whether members request a table from this instance.
     """
 
@@ -135,7 +135,7 @@
             return min(usual_ms, self.terms.shared_hold_ms[table])
         return usual_ms
 
-    async def read(self, table: Table, timeout_ms: float) -> Reading | SourceFailed:
+    async def read(self, table: Table, timeout_ms: float) -> TableRead | SourceFailed:
         """Read a table whole, from the store or a member."""
         if self._queries_store():
             outcome = await self._read_store(table, timeout_ms)
@@ -149,7 +149,7 @@
         return await self._read_store(table, timeout_ms)
 
     async def follow(
-        self, table: Table, since: StoreMoment, hold_ms: float, timeout_ms: float
+        self, table: Table, since: StorePosition, hold_ms: float, timeout_ms: float
     ) -> _Outcome:
         """Read the changes after ``since``, or wait for some for ``hold_ms``."""
         usual_age_ms = self.terms.usual_age_ms[table]
@@ -174,8 +174,8 @@
         return await self._follow_store(table, since, wait_ms, timeout_ms)
 
     async def _later_configuration(
-        self, table: Table, since: StoreMoment
-    ) -> Reading | None:
+        self, table: Table, since: StorePosition
+    ) -> TableRead | None:
         """A member's configuration if it is later than ours, once per process.
 
         The store position stays that of this instance's own read.
@@ -198,10 +198,12 @@
             self._compared_with_member = True
             if isinstance(reply, NothingNewer):
                 return None
-            entries = tuple(evolve(entry, moment=since) for entry in reply.entries)
-            proven_ms = sent_ms - max(reply.age_ms, 0.0)
+            entries = tuple(evolve(entry, position=since) for entry in reply.entries)
+            confirmed_ms = sent_ms - max(reply.age_ms, 0.0)
             log_event("later_configuration", member=address)
-            return Reading(entries, since, 0.0, whole=False, proven_ms=proven_ms)
+            return TableRead(
+                entries, since, 0.0, whole=False, confirmed_ms=confirmed_ms
+            )
         return None
 
     def _member_hold_ms(
@@ -218,7 +220,7 @@
 
     def _queries_for_zone(self) -> bool:
         swim = self.swim
-        return self._zone_is_shared() and swim.holder(swim.zone) == swim.own
+        return self._zone_is_shared() and swim.store_reader(swim.zone) == swim.own
 
     def _zone_is_shared(self) -> bool:
         return len(self.swim.alive(self.swim.zone)) >= _MIN_SHARING_MEMBERS
@@ -237,25 +239,25 @@
 
     async def _read_store(
         self, table: Table, timeout_ms: float
-    ) -> Reading | SourceFailed:
-        question = self._begin_store_query(table, 0.0)
+    ) -> TableRead | SourceFailed:
+        query = self._begin_store_query(table, 0.0)
         outcome = await self.store.read(table, timeout_ms)
         self._record_store_outcome(table, outcome)
-        if isinstance(outcome, Reading):
-            return evolve(outcome, question=question)
+        if isinstance(outcome, TableRead):
+            return evolve(outcome, query=query)
         return outcome
 
     async def _follow_store(
-        self, table: Table, since: StoreMoment, hold_ms: float, timeout_ms: float
+        self, table: Table, since: StorePosition, hold_ms: float, timeout_ms: float
     ) -> _Outcome:
-        question = self._begin_store_query(table, hold_ms)
+        query = self._begin_store_query(table, hold_ms)
         outcome = await self.store.follow(table, since, hold_ms, timeout_ms)
         self._record_store_outcome(table, outcome)
-        if isinstance(outcome, Reading):
-            return evolve(outcome, question=question)
+        if isinstance(outcome, TableRead):
+            return evolve(outcome, query=query)
         return outcome
 
-    def _begin_store_query(self, table: Table, hold_ms: float) -> StoreQuestion:
+    def _begin_store_query(self, table: Table, hold_ms: float) -> StoreQuery:
         """Record a query to the store, with the time and hold that it is sent with.
 
         These may differ from those of the caller's query, since members may have been
@@ -263,7 +265,7 @@
         """
         self.store_calls += 1
         now_ms = self._query_states[table].store_queried_ms = self.clock.now_ms()
-        return StoreQuestion(now_ms, hold_ms)
+        return StoreQuery(now_ms, hold_ms)
 
     def _record_store_outcome(self, table: Table, outcome: _Outcome) -> None:
         state = self._query_states[table]
@@ -307,10 +309,10 @@
     async def _from_members(
         self,
         table: Table,
-        since: StoreMoment | None,
+        since: StorePosition | None,
         wait_ms: float,
         usual_age_ms: float,
-    ) -> Reading | None:
+    ) -> TableRead | None:
         """A member's usable snapshot or update; None if no member has one.
 
         One whose confirmation is no newer than this instance's own is usable only
@@ -330,25 +332,25 @@
                         return None
                 case NothingNewer():
                     self._avoid_stale(table, address)
-                case RelayedReading():
-                    proven_ms = sent_ms + reply.held_ms - max(reply.age_ms, 0.0)
+                case RelayedTableRead():
+                    confirmed_ms = sent_ms + reply.held_ms - max(reply.age_ms, 0.0)
                     is_usual = not reply.failing and reply.age_ms <= usual_age_ms
-                    if is_usual or self._is_newer(table, proven_ms):
-                        return self._reading_from_reply(table, reply, proven_ms)
+                    if is_usual or self._is_newer(table, confirmed_ms):
+                        return self._reading_from_reply(table, reply, confirmed_ms)
                     self._avoid_stale(table, address)
         return None
 
     def _reading_from_reply(
-        self, table: Table, reply: RelayedReading, proven_ms: float
-    ) -> Reading:
+        self, table: Table, reply: RelayedTableRead, confirmed_ms: float
+    ) -> TableRead:
         self.relayed += 1
         self._query_states[table].reached_ms = self.clock.now_ms()
-        return Reading(
-            reply.entries, reply.moment, 0.0, reply.whole, proven_ms=proven_ms
+        return TableRead(
+            reply.entries, reply.position, 0.0, reply.whole, confirmed_ms=confirmed_ms
         )
 
-    def _is_newer(self, table: Table, proven_ms: float) -> bool:
-        return proven_ms > self.freshness.proven_ms(table.value)
+    def _is_newer(self, table: Table, confirmed_ms: float) -> bool:
+        return confirmed_ms > self.freshness.confirmed_ms(table.value)
 
     def _candidates(self, table: Table) -> list[str]:
         """The members to query, in order.
@@ -359,14 +361,14 @@
         name its own previous process as the newest.
         """
         swim = self.swim
-        freshest, confirmed_ms = swim.freshest(table.value)
-        store_readers = [swim.holder(zone) for zone in swim.zones()]
+        latest_confirmation, confirmed_ms = swim.latest_confirmation(table.value)
+        store_readers = [swim.store_reader(zone) for zone in swim.zones()]
         self.random.shuffle(store_readers)
-        addresses = [swim.holder(swim.zone)]
+        addresses = [swim.store_reader(swim.zone)]
         if self._is_newer(table, confirmed_ms - _NEWER_BY_MS):
-            addresses.append(freshest)
+            addresses.append(latest_confirmation)
         addresses += store_readers
-        if not math.isfinite(self.freshness.proven_ms(table.value)):
+        if not math.isfinite(self.freshness.confirmed_ms(table.value)):
             addresses += sorted(swim.alive(), key=self._query_order)
         others = (address for address in addresses if address not in ("", swim.own))
         return [
