--- a/src/coursekeel/gateway/members/_table_feed.py
+++ b/src/coursekeel/gateway/members/_table_feed.py
@@ -8,7 +8,7 @@
 backup may serve until its operator writes again.
 
 Owns the cached rows, the changes since the table was last read whole, and the waiting
-requests. Relies on `FollowTask`, which passes on each snapshot and update.
+requests. Relies on `TableWatchTask`, which passes on each snapshot and update.
 """
 
 import math
@@ -21,10 +21,10 @@
 from coursekeel.forwarding import (
     EndpointRecord,
     ForwardingConfiguration,
-    StoreMoment,
+    StorePosition,
 )
-from coursekeel.gateway._adapters import Reading, Removed, Versioned
-from coursekeel.gateway.members._reading_codec import RelayedReading
+from coursekeel.gateway._adapters import Removed, TableRead, VersionedEntry
+from coursekeel.gateway.members._reading_codec import RelayedTableRead
 from coursekeel.reactor import Reactor
 from coursekeel.runtime import Clock
 from coursekeel.units import MS_PER_SECOND
@@ -47,13 +47,13 @@
     """The requester's copy is at least as recent, or there is none here."""
 
 
-FeedAnswer = RelayedReading | NoNewerState
+FeedAnswer = RelayedTableRead | NoNewerState
 _SendAnswer = Callable[[FeedAnswer], None]
 
 
 @define(eq=False)
 class _WaitingRequest:
-    since: StoreMoment
+    since: StorePosition
     received_ms: float
     send_answer: _SendAnswer
     timer: Any = None
@@ -66,30 +66,30 @@
     reactor: Reactor
     clock: Clock
     failing: bool = False
-    _position: StoreMoment | None = None
-    _complete_since: StoreMoment = field(factory=StoreMoment)
+    _position: StorePosition | None = None
+    _complete_since: StorePosition = field(factory=StorePosition)
     _confirmed_ms: float = -math.inf
-    _rows: dict[str, Versioned] = field(factory=dict)
+    _rows: dict[str, VersionedEntry] = field(factory=dict)
     _removed_rows: int = 0
     _requested_ms: float = -math.inf
     _waiters: list[_WaitingRequest] = field(factory=list)
 
     # Updates from the store.
 
-    def took(self, reading: Reading, confirmed_ms: float) -> None:
+    def took(self, table_read: TableRead, confirmed_ms: float) -> None:
         """Store a snapshot or update that confirms the table as of ``confirmed_ms``.
 
-        ``confirmed_ms`` is a local time; `FollowTask` calls this after applying it.
+        ``confirmed_ms`` is a local time; `TableWatchTask` calls this after applying it.
         """
         cached = self._rows.get(_CONFIGURATION)
-        if reading.whole or self._removed_rows > _MAX_REMOVED_ROWS:
-            rows = {} if reading.whole else self._present()
+        if table_read.whole or self._removed_rows > _MAX_REMOVED_ROWS:
+            rows = {} if table_read.whole else self._present()
             self._rows, self._removed_rows = rows, 0
-            self._complete_since = reading.moment
-        for versioned in reading.entries:
+            self._complete_since = table_read.position
+        for versioned in table_read.entries:
             self._rows[_key_of(versioned)] = _newer_configuration(cached, versioned)
             self._removed_rows += isinstance(versioned.entry, Removed)
-        self._position = reading.moment
+        self._position = table_read.position
         self._confirmed_ms = max(self._confirmed_ms, confirmed_ms)
         self.failing = False
         self._answer_waiters()
@@ -100,14 +100,14 @@
             self.failing = True
             self._answer_waiters()
 
-    def _present(self) -> dict[str, Versioned]:
+    def _present(self) -> dict[str, VersionedEntry]:
         rows = self._rows.items()
         return {k: row for k, row in rows if not isinstance(row.entry, Removed)}
 
     # Requests of members.
 
     def request(
-        self, since: StoreMoment | None, wait_ms: float, send_answer: _SendAnswer
+        self, since: StorePosition | None, wait_ms: float, send_answer: _SendAnswer
     ) -> Callable[[], None]:
         """Answer now or within ``wait_ms``; returns a function that cancels that."""
         now_ms = self._requested_ms = self.clock.now_ms()
@@ -144,7 +144,7 @@
         """Whether a member has requested this table within the last few seconds."""
         return self.clock.now_ms() - self._requested_ms < _RECENT_REQUEST_MS
 
-    def _can_answer_at_once(self, since: StoreMoment) -> bool:
+    def _can_answer_at_once(self, since: StorePosition) -> bool:
         if self.failing:
             return True
         assert self._position is not None
@@ -169,14 +169,14 @@
         self._waiters.remove(waiter)
         waiter.send_answer(self._answer(waiter.since, waiter.received_ms))
 
-    def _answer(self, since: StoreMoment | None, received_ms: float) -> FeedAnswer:
+    def _answer(self, since: StorePosition | None, received_ms: float) -> FeedAnswer:
         if self._position is None or (since is not None and since > self._position):
             return NoNewerState()
         now_ms = self.clock.now_ms()
         whole = since is None or since < self._complete_since
-        least = StoreMoment() if since is None else since
+        least = StorePosition() if since is None else since
         entries = tuple(self._present().values()) if whole else self._changes(least)
-        return RelayedReading(
+        return RelayedTableRead(
             self._position,
             whole,
             now_ms - received_ms,
@@ -185,12 +185,14 @@
             entries,
         )
 
-    def _changes(self, since: StoreMoment) -> tuple[Versioned, ...]:
-        newer = [row for row in self._rows.values() if row.moment > since]
-        return tuple(sorted(newer, key=lambda row: row.moment))
+    def _changes(self, since: StorePosition) -> tuple[VersionedEntry, ...]:
+        newer = [row for row in self._rows.values() if row.position > since]
+        return tuple(sorted(newer, key=lambda row: row.position))
 
 
-def _newer_configuration(cached: Versioned | None, received: Versioned) -> Versioned:
+def _newer_configuration(
+    cached: VersionedEntry | None, received: VersionedEntry
+) -> VersionedEntry:
     """The row to keep: a configuration is never replaced by an older one."""
     before = cached.entry if cached is not None else None
     if not isinstance(before, ForwardingConfiguration):
@@ -204,7 +206,7 @@
     )
 
 
-def _key_of(versioned: Versioned) -> str:
+def _key_of(versioned: VersionedEntry) -> str:
     entry = versioned.entry
     if isinstance(entry, ForwardingConfiguration):
         return _CONFIGURATION
--- a/src/coursekeel/gateway/rollouts/_rollout_task.py
+++ b/src/coursekeel/gateway/rollouts/_rollout_task.py
@@ -1,8 +1,9 @@
-"""Runs roll-outs: exchanges reports and rulings, and writes the stored record.
+"""Runs roll-outs: exchanges reports and decisions, and writes the stored record.
 
 In each period every instance sends its counts to the members that conduct a roll-out
-(`Swim.chosen`), and each of these responds with its ruling. A ruling that changes the
-phase is sent to all members at once. Without a peer address an instance conducts alone.
+(`Swim.members_for`), and each of these responds with its decision. A decision that
+changes the phase is sent to all members at once. Without a peer address an instance
+conducts alone.
 
 Owns the conductors of this instance and its copies of their records. Relies on
 `Conductor` and `Rollouts`, which do no I/O, for every decision.
@@ -19,24 +20,24 @@
     Phase,
     PoolRollout,
     RecordFailed,
+    RolloutDecision,
     RolloutMessage,
     RolloutRecord,
     RolloutRecords,
     RolloutReport,
     Rollouts,
     RolloutState,
-    Ruling,
+    encode_decision,
     encode_report,
-    encode_ruling,
 )
-from coursekeel.gateway.site._known_site import KnownSite
+from coursekeel.gateway.site._site_state import SiteState
 from coursekeel.group import Swim
 from coursekeel.observe import log_event
 from coursekeel.reactor import Reactor
 from coursekeel.routing import Router
 from coursekeel.runtime import Clock, Periodic, spawn
 
-__all__ = ["CanaryTask", "report_period_ms"]
+__all__ = ["RolloutTask", "report_period_ms"]
 
 _SendDatagram = Callable[[str, bytes], None]
 
@@ -44,8 +45,8 @@
 # conductor receives.
 _MIN_PERIOD_MS = 500.0
 _PERIOD_PER_MEMBER_MS = 3.0
-# Report periods within the limit for a rollback: enough for a report, a ruling that is
-# lost once, and the next ruling.
+# Report periods within the limit for a rollback: enough for a report, a decision that
+# is lost once, and the next decision.
 _PERIODS_PER_ROLLBACK = 4
 # The name of an instance without a peer address.
 _NO_PEER_ADDRESS = ""
@@ -71,14 +72,14 @@
 
 
 @define(eq=False)
-class CanaryTask:
+class RolloutTask:
     """One instance's part in all roll-outs; ``send`` sends a datagram to a member."""
 
     reactor: Reactor
     clock: Clock
     swim: Swim
     rollouts: Rollouts
-    site: KnownSite
+    site: SiteState
     router: Router
     records: RolloutRecords
     timeout_ms: float
@@ -96,7 +97,7 @@
         return self.swim.own or _NO_PEER_ADDRESS
 
     def stop(self) -> None:
-        """Send no more reports and rulings."""
+        """Send no more reports and decisions."""
         self._ticks.stop()
 
     def ordered(self) -> None:
@@ -129,7 +130,7 @@
     def _conductors(self, pool: str) -> list[str]:
         if not self.swim.own:
             return [_NO_PEER_ADDRESS]
-        return self.swim.chosen(f"rollout/{pool}", CONDUCTORS)
+        return self.swim.members_for(f"rollout/{pool}", CONDUCTORS)
 
     def _report(self, pool: str, rollout: PoolRollout) -> None:
         if rollout.phase.final:
@@ -140,7 +141,7 @@
         conductors = self._conductors(pool)
         if self.own in conductors:
             conducted = self._conducted_of(rollout)
-            conducted.conductor.report(report, self.clock.now_ms())
+            conducted.conductor.add_report(report, self.clock.now_ms())
         others = [member for member in conductors if member != self.own]
         for data in encode_report(self.swim.group, report) if others else ():
             for address in others:
@@ -155,12 +156,12 @@
         pool = rollout.order.pool
         current = self._conducted.get(pool)
         if current is not None and current.conductor.order == rollout.order:
-            later_era = rollout.moment.era > current.conductor.moment.era
-            if later_era or current.conductor.moment == rollout.moment:
-                current.conductor.moment = rollout.moment
+            later_era = rollout.position.era > current.conductor.position.era
+            if later_era or current.conductor.position == rollout.position:
+                current.conductor.position = rollout.position
                 return current
         conductor = Conductor(
-            rollout.order, rollout.moment, self.rollouts.bounds, rollout.began_ms
+            rollout.order, rollout.position, self.rollouts.bounds, rollout.began_ms
         )
         self._conducted[pool] = _Conducted(conductor)
         return self._conducted[pool]
@@ -174,92 +175,94 @@
         if conducted.record_was_read:
             leading = conductors[0] == self.own
             has_new = self.rollouts.has_new(pool)
-            conductor.look(self.clock.now_ms(), leading, has_new)
-            self._apply_own_ruling(conducted, before)
+            conductor.evaluate(self.clock.now_ms(), leading, has_new)
+            self._apply_own_decision(conducted, before)
         if not conducted.writing and not self._record_is_current(conducted):
             conducted.writing = True
             spawn(self._sync_record(conducted), "rollout_record", self.reactor)
 
-    def _apply_own_ruling(self, conducted: _Conducted, before: Phase) -> None:
-        """Apply this instance's own ruling, and send it to all if the phase changed."""
+    def _apply_own_decision(self, conducted: _Conducted, before: Phase) -> None:
+        """Apply this instance's own decision; send it to all if the phase changed."""
         conductor = conducted.conductor
-        ruling = self._ruling(conducted)
-        self._apply_ruling(ruling)
+        decision = self._decision(conducted)
+        self._apply_decision(decision)
         if conductor.phase is before:
             return
         log_event(
             "rollout_judged",
-            pool=ruling.pool,
-            target=ruling.target,
-            phase=ruling.phase.value,
+            pool=decision.pool,
+            target=decision.target,
+            phase=decision.phase.value,
             reason=conductor.reason,
-            elapsed_ms=round(ruling.elapsed_ms),
+            elapsed_ms=round(decision.elapsed_ms),
         )
         for address in self.swim.others():
-            self.send(address, encode_ruling(self.swim.group, ruling))
+            self.send(address, encode_decision(self.swim.group, decision))
 
-    def _ruling(self, conducted: _Conducted) -> Ruling:
+    def _decision(self, conducted: _Conducted) -> RolloutDecision:
         conductor = conducted.conductor
-        in_force = self.rollouts.known_in_force(conductor.order.pool)
-        return conductor.ruling(self.own, self.clock.now_ms(), in_force)
+        in_force = self.rollouts.confirmed_in_force(conductor.order.pool)
+        return conductor.decision(self.own, self.clock.now_ms(), in_force)
 
     # Messages of members.
 
     def received(self, message: RolloutMessage) -> None:
-        """Process a report or ruling of a member."""
+        """Process a report or decision of a member."""
         if message.sender not in self.swim.others():
             return
-        if isinstance(message, Ruling):
-            self._apply_ruling(message)
+        if isinstance(message, RolloutDecision):
+            self._apply_decision(message)
         else:
             self._receive_report(message)
 
-    def _apply_ruling(self, ruling: Ruling) -> None:
-        conducted = self._conducted.get(ruling.pool)
-        if conducted is not None and ruling.phase.final:
-            self._adopt_final_phase(conducted.conductor, ruling)
-        if not self.rollouts.heard(ruling, self.clock.now_ms()):
+    def _apply_decision(self, decision: RolloutDecision) -> None:
+        conducted = self._conducted.get(decision.pool)
+        if conducted is not None and decision.phase.final:
+            self._adopt_final_phase(conducted.conductor, decision)
+        if not self.rollouts.apply_decision(decision, self.clock.now_ms()):
             return
         log_event(
             "rollout_phase",
-            pool=ruling.pool,
-            target=ruling.target,
-            phase=ruling.phase.value,
-            conductor=ruling.sender,
+            pool=decision.pool,
+            target=decision.target,
+            phase=decision.phase.value,
+            conductor=decision.sender,
         )
         self.site.update_routing()
 
-    def _adopt_final_phase(self, conductor: Conductor, ruling: Ruling) -> None:
+    def _adopt_final_phase(
+        self, conductor: Conductor, decision: RolloutDecision
+    ) -> None:
         """Adopt the final phase of the other conductor."""
-        same_target = ruling.target == conductor.order.target
-        if same_target and ruling.moment >= conductor.moment:
-            conductor.found(RolloutState(ruling.phase.value))
+        same_target = decision.target == conductor.order.target
+        if same_target and decision.position >= conductor.position:
+            conductor.adopt_final_state(RolloutState(decision.phase.value))
 
     def _receive_report(self, report: RolloutReport) -> None:
         rollout = self.rollouts.by_pool.get(report.pool)
         if rollout is None or report.target != rollout.order.target:
             return
-        if report.moment < rollout.moment:
+        if report.position < rollout.position:
             return
         conducted = self._conducted_of(rollout)
         if self.own in self._conductors(report.pool):
-            conducted.conductor.report(report, self.clock.now_ms())
+            conducted.conductor.add_report(report, self.clock.now_ms())
             if self._is_unfinished(rollout):
                 self._ticks.start()
         if conducted.record_was_read:
-            ruling = encode_ruling(self.swim.group, self._ruling(conducted))
-            self.send(report.sender, ruling)
+            decision = encode_decision(self.swim.group, self._decision(conducted))
+            self.send(report.sender, decision)
 
     # The record.
 
     def _state_to_record(self, conducted: _Conducted) -> RolloutState:
         now_ms = self.clock.now_ms()
         members = self.swim.alive() if self.swim.own else [_NO_PEER_ADDRESS]
-        return conducted.conductor.wanted(now_ms, members)
+        return conducted.conductor.desired_state(now_ms, members)
 
     def _record_is_current(self, conducted: _Conducted) -> bool:
         record, conductor = conducted.record, conducted.conductor
-        if record is None or not record.answers(conductor.order, conductor.moment):
+        if record is None or not record.is_for(conductor.order, conductor.position):
             return False
         return record.state is self._state_to_record(conducted)
 
@@ -271,7 +274,7 @@
             if conducted.record is not None and not self._record_is_current(conducted):
                 await self._write_record(conducted, conducted.record)
             if conducted.record_was_read:
-                self._apply_own_ruling(conducted, before)
+                self._apply_own_decision(conducted, before)
         finally:
             conducted.writing = False
 
@@ -282,9 +285,9 @@
             log_event("rollout_unread", reason=record.reason)
             return
         conducted.record, conducted.record_was_read = record, True
-        is_current = record.answers(conductor.order, conductor.moment)
+        is_current = record.is_for(conductor.order, conductor.position)
         if is_current and record.state is not None:
-            conductor.found(record.state)
+            conductor.adopt_final_state(record.state)
 
     async def _write_record(self, conducted: _Conducted, before: RolloutRecord) -> None:
         conductor, state = conducted.conductor, self._state_to_record(conducted)
@@ -301,5 +304,5 @@
             log_event("rollout_unwritten", logging.WARNING, outcome=written)
             return
         conducted.record = written
-        conductor.recorded(state)
+        conductor.state_written(state)
         log_event("rollout_recorded", pool=conductor.order.pool, state=state.value)
--- a/src/coursekeel/gateway/rollouts/_version_choice.py
+++ b/src/coursekeel/gateway/rollouts/_version_choice.py
@@ -38,13 +38,13 @@
             return False
         return self.router.endpoints.has_room(pool, self.clock.now_ms())
 
-    def may_have(self, endpoint: EndpointRecord) -> bool:
+    def may_receive(self, endpoint: EndpointRecord) -> bool:
         """Whether the roll-out allows a request to be sent to the endpoint."""
-        return self.rollouts.may_have(endpoint)
+        return self.rollouts.may_receive(endpoint)
 
     def named(self, endpoint_id: str) -> str:
         """The endpoint's version while its pool has a roll-out order; else empty."""
-        return self.rollouts.ordered_version(endpoint_id)
+        return self.rollouts.version_in_rollout(endpoint_id)
 
     def ended(
         self, call: AdmittedRequest, endpoint_id: str, failed: bool, took_ms: float
@@ -74,6 +74,6 @@
         lost: bool = False,
     ) -> None:
         now_ms = self.clock.now_ms()
-        self.rollouts.ended(
+        self.rollouts.count_end(
             call.pool, route, endpoint_id, failed, took_ms, now_ms, lost
         )
--- a/src/coursekeel/gateway/site/_follow_task.py
+++ b/src/coursekeel/gateway/site/_follow_task.py
@@ -19,16 +19,16 @@
 from coursekeel.forwarding import (
     Freshness,
     StoreClock,
-    StoreMoment,
-    proven_moment_ms,
+    StorePosition,
+    confirmed_time_ms,
 )
 from coursekeel.gateway._adapters import (
-    HistoryGone,
-    Reading,
+    HistoryExpired,
     Source,
     SourceFailed,
-    StoreQuestion,
+    StoreQuery,
     Table,
+    TableRead,
 )
 from coursekeel.gateway._metrics import logged_age_ms
 from coursekeel.gateway.members._table_feed import TableFeed
@@ -36,7 +36,7 @@
 from coursekeel.reactor import Reactor
 from coursekeel.runtime import Clock, spawn
 
-__all__ = ["FollowTask", "FollowedTable"]
+__all__ = ["FollowedTable", "TableWatchTask"]
 
 # Backoff after failed queries: doubles from the first to the longest pause, each with a
 # random factor between a half and one. Long enough not to load a failing store, and
@@ -61,24 +61,25 @@
 
     ``hold_ms``: how long the store may hold a query until something changes.
     ``gathering_ms``: pause after a change, since changes come in bursts.
-    ``take``: applies a snapshot or update. ``came_back``: called before the first one
-    after failures, with the age of the last confirmation in ms. ``failed``: called for
-    each failed query. ``restored``: called before the first snapshot of a later era is
-    applied. ``proved``: called with the position up to which all of the table was read.
+    ``take``: applies a snapshot or update. ``on_source_return``: called before the
+    first one after failures, with the age of the last confirmation in ms. ``failed``:
+    called for each failed query. ``restored``: called before the first snapshot of a
+    later era is applied. ``on_read_up_to``: called with the position up to which all of
+    the table was read.
     """
 
     table: Table
     hold_ms: float
     gathering_ms: float
-    take: Callable[[Reading], None]
-    came_back: Callable[[float], None]
+    take: Callable[[TableRead], None]
+    on_source_return: Callable[[float], None]
     failed: Callable[[], None] = _ignore
     restored: Callable[[], None] = _ignore
-    proved: Callable[[StoreMoment], None] = lambda _: None
+    on_read_up_to: Callable[[StorePosition], None] = lambda _: None
 
 
 @define(eq=False)
-class FollowTask:
+class TableWatchTask:
     """Follows one table for as long as the process runs.
 
     The store responds as soon as it has a change; between changes it is queried once
@@ -96,8 +97,8 @@
     store_clock: StoreClock
     feed: TableFeed
     restores: int = 0
-    _resume_position: StoreMoment | None = None
-    _applied_position: StoreMoment | None = None
+    _resume_position: StorePosition | None = None
+    _applied_position: StorePosition | None = None
     _stopped: bool = False
     _failure_count: int = 0
     _change_count: int = 0
@@ -142,39 +143,39 @@
             self._failure_count += 1
 
     async def _query(self) -> None:
-        question = StoreQuestion(self.clock.now_ms(), self._hold_ms())
-        outcome = await self._send_query(question.held_ms)
+        query = StoreQuery(self.clock.now_ms(), self._hold_ms())
+        outcome = await self._send_query(query.held_ms)
         match outcome:
-            case Reading():
-                reading = self._checked_reading(outcome)
-                if reading is not None:
-                    self._process(reading, reading.question or question)
-            case HistoryGone():
+            case TableRead():
+                table_read = self._checked_reading(outcome)
+                if table_read is not None:
+                    self._process(table_read, table_read.query or query)
+            case HistoryExpired():
                 log_event("history_gone", table=self._name, since=self._resume_position)
                 self._resume_position = None
             case SourceFailed():
                 self._source_failed(outcome.reason)
 
-    def _checked_reading(self, reading: Reading) -> Reading | None:
+    def _checked_reading(self, table_read: TableRead) -> TableRead | None:
         """The snapshot or update if it may be applied, or None; handles a new era."""
         if (
             self._applied_position is None
-            or reading.moment.era == self._applied_position.era
+            or table_read.position.era == self._applied_position.era
         ):
-            return reading if self._is_in_order(reading) else None
-        era, last_era = reading.moment.era, self._applied_position.era
+            return table_read if self._is_in_order(table_read) else None
+        era, last_era = table_read.position.era, self._applied_position.era
         if era < last_era:
             log_event(
                 "store_era_fell",
                 logging.WARNING,
                 table=self._name,
-                moment=reading.moment,
+                moment=table_read.position,
                 era=last_era,
             )
             self._resume_position = None
             self._source_failed(f"era {era} after {last_era}")
             return None
-        if not reading.whole:
+        if not table_read.whole:
             # Updates since a position of the earlier era: some changes may be missing.
             self._resume_position = None
             return None
@@ -183,18 +184,18 @@
             logging.WARNING,
             table=self._name,
             before=self._applied_position,
-            moment=reading.moment,
+            moment=table_read.position,
         )
         self.restores += 1
         self.followed.restored()
-        return evolve(reading, restored=True)
+        return evolve(table_read, restored=True)
 
-    def _is_in_order(self, reading: Reading) -> bool:
+    def _is_in_order(self, table_read: TableRead) -> bool:
         """Whether a response of this era isn't behind the position that was sent."""
         if (
-            reading.whole
+            table_read.whole
             or self._resume_position is None
-            or reading.moment >= self._resume_position
+            or table_read.position >= self._resume_position
         ):
             return True
         log_event(
@@ -202,7 +203,7 @@
             logging.WARNING,
             table=self._name,
             since=self._resume_position,
-            moment=reading.moment,
+            moment=table_read.position,
         )
         self._resume_position = None
         return False
@@ -217,7 +218,9 @@
             return 0.0
         return self.source.hold_ms(self.followed.table, self.followed.hold_ms)
 
-    async def _send_query(self, held_ms: float) -> Reading | HistoryGone | SourceFailed:
+    async def _send_query(
+        self, held_ms: float
+    ) -> TableRead | HistoryExpired | SourceFailed:
         table = self.followed.table
         if self._resume_position is None:
             return await self.source.read(table, self.timeout_ms)
@@ -226,51 +229,51 @@
             table, self._resume_position, held_ms, longest_ms
         )
 
-    def _process(self, reading: Reading, question: StoreQuestion) -> None:
+    def _process(self, table_read: TableRead, query: StoreQuery) -> None:
         now_ms = self.clock.now_ms()
         if self._failure_count:
             self._source_returned(now_ms)
-        self._from_member = reading.proven_ms is not None
-        confirmed_ms = self._confirmed_ms(reading, question, now_ms)
-        self._apply(reading, confirmed_ms)
-        self._resume_position = self._applied_position = reading.moment
-        self.feed.took(reading, confirmed_ms)
+        self._from_member = table_read.confirmed_ms is not None
+        confirmed_ms = self._confirmed_ms(table_read, query, now_ms)
+        self._apply(table_read, confirmed_ms)
+        self._resume_position = self._applied_position = table_read.position
+        self.feed.took(table_read, confirmed_ms)
 
-    def _apply(self, reading: Reading, confirmed_ms: float) -> None:
+    def _apply(self, table_read: TableRead, confirmed_ms: float) -> None:
         """Apply a snapshot or update, and record its confirmation.
 
         The confirmation is recorded first, since requests that wait for the first
         snapshot are served while it is applied. It is withdrawn if that raises.
         """
-        before_ms = self.freshness.proven_ms(self._name)
-        self.freshness.proved(self._name, confirmed_ms)
+        before_ms = self.freshness.confirmed_ms(self._name)
+        self.freshness.record_confirmation(self._name, confirmed_ms)
         try:
-            if reading.entries or reading.whole:
+            if table_read.entries or table_read.whole:
                 self._change_count += 1
-                self.followed.take(reading)
-            self.followed.proved(reading.moment)
+                self.followed.take(table_read)
+            self.followed.on_read_up_to(table_read.position)
         except Exception:
-            self.freshness.withdrawn(self._name, before_ms)
+            self.freshness.undo_confirmation(self._name, before_ms)
             raise
 
     def _confirmed_ms(
-        self, reading: Reading, question: StoreQuestion, now_ms: float
+        self, table_read: TableRead, query: StoreQuery, now_ms: float
     ) -> float:
         """The local time as of which a response confirms the table."""
-        if reading.proven_ms is not None:
-            return reading.proven_ms
-        held_ms = 0.0 if reading.entries else question.held_ms
-        confirmed_ms = proven_moment_ms(question.sent_ms, now_ms, held_ms)
-        clock, era = self.store_clock, reading.moment.era
-        earliest_ms = clock.earliest_ms(era, reading.store_ms, question.sent_ms)
-        latest_ms = clock.latest_ms(era, reading.store_ms, now_ms)
+        if table_read.confirmed_ms is not None:
+            return table_read.confirmed_ms
+        held_ms = 0.0 if table_read.entries else query.held_ms
+        confirmed_ms = confirmed_time_ms(query.sent_ms, now_ms, held_ms)
+        clock, era = self.store_clock, table_read.position.era
+        earliest_ms = clock.earliest_ms(era, table_read.store_ms, query.sent_ms)
+        latest_ms = clock.latest_ms(era, table_read.store_ms, now_ms)
         # A hold may have ended early, and its response arrived late.
         return min(confirmed_ms, earliest_ms, latest_ms)
 
     def _source_returned(self, now_ms: float) -> None:
         log_event("store_back", table=self._name, failures=self._failure_count)
         self._failure_count = 0
-        self.followed.came_back(self.freshness.age_ms(self._name, now_ms))
+        self.followed.on_source_return(self.freshness.age_ms(self._name, now_ms))
 
     def _source_failed(self, reason: str) -> None:
         self._failure_count += 1
--- a/src/coursekeel/gateway/site/_known_site.py
+++ b/src/coursekeel/gateway/site/_site_state.py
@@ -4,8 +4,8 @@
 
 Owns the route table, the directory of endpoints and the times at which the store last
 confirmed them. A snapshot or update is in force when the method that applies it
-returns. Relies on `FollowTask` for these, and updates routing after every change of the
-endpoints.
+returns. Relies on `TableWatchTask` for these, and updates routing after every change of
+the endpoints.
 
 An unreadable entry is logged and removes nothing: its previous state stays.
 """
@@ -19,21 +19,21 @@
 
 from coursekeel.canary import RolloutOrder, Rollouts, pool_of_order
 from coursekeel.forwarding import (
-    Belief,
+    ConfigurationAge,
     EndpointDirectory,
     EndpointRecord,
     ForwardingConfiguration,
     Freshness,
     RequestLimits,
     RouteTable,
-    StoreMoment,
+    StorePosition,
 )
 from coursekeel.gateway._adapters import (
-    Reading,
     Removed,
     Table,
+    TableRead,
     UnreadableEntry,
-    Versioned,
+    VersionedEntry,
 )
 from coursekeel.gateway._live_settings import LiveSettings
 from coursekeel.gateway._request import AdmittedRequest
@@ -43,7 +43,7 @@
 from coursekeel.runtime import Clock, RoutingTask
 from coursekeel.units import MS_PER_SECOND
 
-__all__ = ["KnownSite"]
+__all__ = ["SiteState"]
 
 # Time for a new endpoint to appear in the list: twice the sum of two usual heartbeats
 # of 1.2 s and the time that changes gather.
@@ -55,7 +55,7 @@
 
 
 @define(eq=False)
-class KnownSite:
+class SiteState:
     """The routes, keys and endpoints that are in force on this instance."""
 
     reactor: Reactor
@@ -80,11 +80,11 @@
         """Age of the last confirmation of routes and keys; infinite without one."""
         return self.freshness.age_ms(Table.CONFIGURATION.value, self.clock.now_ms())
 
-    def belief(self) -> Belief:
+    def configuration_age(self) -> ConfigurationAge:
         """Version and age of the configuration in force."""
         if self.routes is None:
-            return Belief()
-        return Belief(self.routes.configuration.version, self.routes_age_ms)
+            return ConfigurationAge()
+        return ConfigurationAge(self.routes.configuration.version, self.routes_age_ms)
 
     @property
     def limits(self) -> RequestLimits:
@@ -125,30 +125,30 @@
         # The team's name is sent to the endpoint, so that team must hold the key now.
         return team is not None and team.name == call.team.name
 
-    def take_configuration(self, reading: Reading) -> None:
+    def apply_configuration(self, table_read: TableRead) -> None:
         """Apply a configuration and roll-out orders; those not newer are ignored."""
-        if reading.whole and not reading.restored:
+        if table_read.whole and not table_read.restored:
             # After a restore a missing order isn't withdrawn: it is written again.
-            self.rollouts.withdrawn(_pools_of_orders(reading))
-        for versioned in reading.entries:
+            self.rollouts.withdraw_all_except(_pools_of_orders(table_read))
+        for versioned in table_read.entries:
             match versioned.entry:
                 case ForwardingConfiguration():
-                    relayed = reading.proven_ms is not None
+                    relayed = table_read.confirmed_ms is not None
                     self._apply_configuration(
-                        versioned.entry, versioned.moment, relayed
+                        versioned.entry, versioned.position, relayed
                     )
                 case RolloutOrder():
-                    self._apply_order(versioned.entry, versioned.moment)
+                    self._apply_order(versioned.entry, versioned.position)
                 case Removed() if pool := pool_of_order(versioned.entry.entry_id):
-                    self.rollouts.withdrawn_one(pool)
+                    self.rollouts.withdraw(pool)
                     self.update_routing()
                 case UnreadableEntry():
                     _log_unreadable(
-                        Table.CONFIGURATION, versioned.entry, versioned.moment
+                        Table.CONFIGURATION, versioned.entry, versioned.position
                     )
 
-    def _apply_order(self, order: RolloutOrder, moment: StoreMoment) -> None:
-        begun = self.rollouts.ordered(order, moment, self.clock.now_ms())
+    def _apply_order(self, order: RolloutOrder, position: StorePosition) -> None:
+        begun = self.rollouts.set_order(order, position, self.clock.now_ms())
         if begun is None:
             return
         log_event(
@@ -156,20 +156,20 @@
             pool=order.pool,
             target=order.target,
             within_ms=round(order.duration_ms),
-            moment=moment,
+            moment=position,
         )
         self.update_routing()
         self.ordered()
 
-    def orders_proved(self, moment: StoreMoment) -> None:
+    def record_orders_read(self, position: StorePosition) -> None:
         """Record that all roll-out orders up to a store position were read."""
-        if self.rollouts.orders_read(moment):
+        if self.rollouts.set_orders_position(position):
             self.update_routing()
 
     def _apply_configuration(
         self,
         configuration: ForwardingConfiguration,
-        moment: StoreMoment,
+        position: StorePosition,
         relayed: bool,
     ) -> None:
         routes = self.routes
@@ -180,7 +180,7 @@
             "configuration_applied",
             version=configuration.version,
             routes=len(configuration.routes),
-            moment=moment,
+            moment=position,
             source="member" if relayed else "store",
         )
         self.update_routing()
@@ -188,13 +188,13 @@
 
     # Endpoints.
 
-    def take_endpoints(self, reading: Reading) -> None:
+    def apply_endpoints(self, table_read: TableRead) -> None:
         """Apply the whole list of endpoints, or changes of it."""
         self.endpoints_read = True
-        if reading.whole:
-            self._apply_list(reading)
+        if table_read.whole:
+            self._apply_list(table_read)
         else:
-            for versioned in reading.entries:
+            for versioned in table_read.entries:
                 self._apply_change(versioned)
         self.update_routing()
         self._release_held()
@@ -204,36 +204,38 @@
         if self.routes is not None and self.endpoints_read:
             self.hold.known()
 
-    def _apply_list(self, reading: Reading) -> None:
-        pairs: list[tuple[EndpointRecord, StoreMoment]] = []
+    def _apply_list(self, table_read: TableRead) -> None:
+        pairs: list[tuple[EndpointRecord, StorePosition]] = []
         unreadable: list[str] = []
-        for versioned in reading.entries:
+        for versioned in table_read.entries:
             match versioned.entry:
                 case EndpointRecord():
-                    pairs.append((versioned.entry, versioned.moment))
+                    pairs.append((versioned.entry, versioned.position))
                 case UnreadableEntry():
                     unreadable.append(versioned.entry.entry_id)
-                    _log_unreadable(Table.ENDPOINTS, versioned.entry, versioned.moment)
-        if reading.restored:
+                    _log_unreadable(
+                        Table.ENDPOINTS, versioned.entry, versioned.position
+                    )
+        if table_read.restored:
             self.directory.restore(pairs, kept=unreadable)
             self._schedule_settling()
         else:
             self.directory.replace_all(pairs, kept=unreadable)
 
-    def _apply_change(self, change: Versioned) -> None:
-        entry, moment = change.entry, change.moment
+    def _apply_change(self, change: VersionedEntry) -> None:
+        entry, position = change.entry, change.position
         match entry:
             case EndpointRecord():
                 if entry.leaving:
                     log_event("endpoint_leaving", endpoint=entry.endpoint_id)
-                self.directory.put(entry, moment)
+                self.directory.put(entry, position)
             case Removed():
                 log_event("endpoint_gone", endpoint=entry.entry_id)
-                self.directory.remove(entry.entry_id, moment)
+                self.directory.remove(entry.entry_id, position)
             case UnreadableEntry():
-                _log_unreadable(Table.ENDPOINTS, entry, moment)
+                _log_unreadable(Table.ENDPOINTS, entry, position)
 
-    def endpoints_back(self, lost_for_ms: float) -> None:
+    def prepare_after_outage(self, lost_for_ms: float) -> None:
         """Prepare for the first read of the list after an outage of ``lost_for_ms``.
 
         Registrations expire while the store is down, and live endpoints register again
@@ -242,7 +244,7 @@
         timers = self.settings.timers
         if lost_for_ms < timers.endpoints_lapse_ms:
             return
-        self.directory.store_returned()
+        self.directory.begin_recovery()
         self._schedule_settling()
 
     def _schedule_settling(self) -> None:
@@ -254,13 +256,13 @@
         )
 
     def _finish_settling(self) -> None:
-        for endpoint_id in self.directory.settle():
+        for endpoint_id in self.directory.remove_missing():
             log_event("endpoint_gone", endpoint=endpoint_id, reason="not_back")
         self.update_routing()
 
-    def endpoint_replaced(self, endpoint_id: str) -> None:
+    def mark_replaced(self, endpoint_id: str) -> None:
         """Mark an endpoint as replaced: another incarnation answers at its address."""
-        self.directory.replaced(endpoint_id)
+        self.directory.mark_replaced(endpoint_id)
         self.update_routing()
 
     def adopt(self, endpoint_id: str, successor_id: str) -> EndpointRecord | None:
@@ -268,7 +270,7 @@
         record = self.directory.adopt(endpoint_id, successor_id)
         if record is None or record.leaving:
             return None
-        if self.directory.unlisted(successor_id):
+        if self.directory.is_adopted(successor_id):
             log_event("endpoint_adopted", endpoint=successor_id, after=endpoint_id)
             now_ms = self.clock.now_ms()
             self.reactor.callLater(
@@ -279,12 +281,12 @@
 
     def _check_adopted(self, successor_id: str, adopted_ms: float) -> None:
         """Drop an adopted endpoint that the list lacks; check again if too early."""
-        if not self.directory.unlisted(successor_id):
+        if not self.directory.is_adopted(successor_id):
             return
-        proven_ms = self.freshness.proven_ms(Table.ENDPOINTS.value)
-        if proven_ms >= adopted_ms + _LISTING_TIME_S * MS_PER_SECOND:
+        confirmed_ms = self.freshness.confirmed_ms(Table.ENDPOINTS.value)
+        if confirmed_ms >= adopted_ms + _LISTING_TIME_S * MS_PER_SECOND:
             log_event("endpoint_gone", endpoint=successor_id, reason="not_listed")
-            self.directory.disown(successor_id)
+            self.directory.remove_adopted(successor_id)
             self.update_routing()
             return
         self.reactor.callLater(
@@ -294,20 +296,20 @@
     def update_routing(self) -> None:
         """Pass the endpoints of each pool, their zones and slots to routing."""
         directory, router = self.directory, self.routing.router
-        pools = self.rollouts.split(directory.pools(), directory.known)
+        pools = self.rollouts.split(directory.pools(), directory.record_with_position)
         router.endpoints.configure(pools, directory.zones(), directory.slots())
         for tried, pool in self._tried_pools.items():
             if tried not in pools:
-                router.move(tried, pool)
+                router.move_queued(tried, pool)
         orders = self.rollouts.by_pool.items()
-        self._tried_pools = {rollout.tried_pool: pool for pool, rollout in orders}
+        self._tried_pools = {rollout.canary_pool: pool for pool, rollout in orders}
         self.routing.review()
 
 
-def _pools_of_orders(reading: Reading) -> list[str]:
+def _pools_of_orders(table_read: TableRead) -> list[str]:
     """The pools with a roll-out order in a snapshot, including unreadable orders."""
     pools = []
-    for versioned in reading.entries:
+    for versioned in table_read.entries:
         match versioned.entry:
             case RolloutOrder():
                 pools.append(versioned.entry.pool)
@@ -316,12 +318,14 @@
     return pools
 
 
-def _log_unreadable(table: Table, entry: UnreadableEntry, moment: StoreMoment) -> None:
+def _log_unreadable(
+    table: Table, entry: UnreadableEntry, position: StorePosition
+) -> None:
     log_event(
         "row_unreadable",
         logging.WARNING,
         table=table.value,
         key=entry.entry_id,
-        moment=moment,
+        moment=position,
         fault=entry.fault,
     )
--- a/src/coursekeel/gateway/streams/_begin_watch.py
+++ b/src/coursekeel/gateway/streams/_begin_watch.py
@@ -85,9 +85,9 @@
         """Return True if ``report`` should list the run by now and doesn't.
 
         Guards against an endpoint that accepts requests and never runs them. False if
-        the report has no ``unread_runs``, or counts runs that haven't started.
+        the report has no ``prefill_pending_runs``, or counts runs that haven't started.
         """
         waited_ms = self.clock.now_ms() - self._sent_ms
-        if waited_ms < _MAX_REPORT_LAG_MS or report.unread_runs is None:
+        if waited_ms < _MAX_REPORT_LAG_MS or report.prefill_pending_runs is None:
             return False
-        return self.run_id not in report.runs and report.unread_runs == 0
+        return self.run_id not in report.runs and report.prefill_pending_runs == 0
--- a/src/coursekeel/gateway/streams/_placement.py
+++ b/src/coursekeel/gateway/streams/_placement.py
@@ -3,8 +3,8 @@
 Rule for a run: a few endpoints are asked for their load reports, then routing chooses.
 A new request waits in the queue until `queue_deadline_ms`; a stream that has begun
 waits until its own deadline, since another instance would have to read its prompt
-again. Rule for a copy: `KnownEndpoints.for_copy`, for resumable routes only, in pools
-that keep copies.
+again. Rule for a copy: `EndpointSelector.choose_for_copy`, for resumable routes only,
+in pools that keep copies.
 
 Owns one stream's search, the zones where it lost runs, and the addresses of its copies.
 """
@@ -13,7 +13,7 @@
 
 from attrs import define, evolve, field
 
-from coursekeel.answers import OpenAttempt, SeekEndpoint, Way
+from coursekeel.answers import OpenAttempt, RequestEndpoint, Way
 from coursekeel.forwarding import EndpointRecord, RouteKind
 from coursekeel.gateway._context import GatewayContext
 from coursekeel.gateway._request import AdmittedRequest
@@ -57,9 +57,9 @@
     @property
     def reports_requested(self) -> int:
         """How many endpoints were asked for a load report in the last search."""
-        return len(self._request.asked) if self._request else 0
+        return len(self._request.queried) if self._request else 0
 
-    def search(self, action: SeekEndpoint, on_decision: _OnDecision) -> None:
+    def search(self, action: RequestEndpoint, on_decision: _OnDecision) -> None:
         """Search for an endpoint; call ``on_decision`` once unless stopped."""
         now_ms = self.context.clock.now_ms()
         request = self._request = self._placement_request(action, now_ms)
@@ -67,7 +67,9 @@
         if request.caller_resumes and not self._searched_caches:
             self._searched_caches = True
             endpoints = self.context.routing.router.endpoints
-            candidates = endpoints.may_keep(request, now_ms, _CACHED_PROMPT_REQUESTS)
+            candidates = endpoints.likely_caches(
+                request, now_ms, _CACHED_PROMPT_REQUESTS
+            )
             self.reports.find_cached_prompt(
                 candidates,
                 request.prompt_key,
@@ -81,14 +83,14 @@
     ) -> None:
         self._prompt_cached_at = cached_at
         if self._searching and self._request is not None:
-            self._request = evolve(self._request, kept_at=cached_at)
+            self._request = evolve(self._request, prompt_cached_at=cached_at)
             self._request_loads(on_decision)
 
     def _request_loads(self, on_decision: _OnDecision) -> None:
         assert self._request is not None
         now_ms = self.context.clock.now_ms()
         endpoints = self.context.routing.router.endpoints
-        asked = endpoints.to_ask(self._request, now_ms, _LOAD_REQUESTS)
+        asked = endpoints.choose_to_query(self._request, now_ms, _LOAD_REQUESTS)
         if asked:
             self.reports.request_reports(
                 asked, lambda: self._reports_updated(asked, on_decision)
@@ -97,7 +99,7 @@
             self._reports_updated([], on_decision)
 
     def _placement_request(
-        self, action: SeekEndpoint, now_ms: float
+        self, action: RequestEndpoint, now_ms: float
     ) -> PlacementRequest:
         call, caller = self.call, self.call.caller
         resuming = action.continuing or action.held_tokens > 0
@@ -109,19 +111,21 @@
             rank=call.rank,
             pool=self.context.versions.pool_for(call, first_search),
             cost=float(tokens) or _DEFAULT_COST_TOKENS,
-            deadline_ms=call.due_ms if resuming else queue_deadline_ms(call, now_ms),
+            deadline_ms=call.deadline_ms
+            if resuming
+            else queue_deadline_ms(call, now_ms),
             prompt_tokens=caller.prompt_tokens,
             prompt_key=caller.prompt_key or caller.request_id,
             excluded=action.excluded,
             avoided_zones=frozenset(self._lost_zones),
             caller_resumes=caller.resume_after is not None,
-            kept_at=self._prompt_cached_at,
+            prompt_cached_at=self._prompt_cached_at,
         )
 
     def _reports_updated(self, asked: list[str], on_decision: _OnDecision) -> None:
         if not self._searching or self._request is None:
             return
-        self._request = evolve(self._request, asked=frozenset(asked))
+        self._request = evolve(self._request, queried=frozenset(asked))
 
         def decision_made(decision: Decision) -> None:
             self._request_number = None
@@ -141,7 +145,7 @@
 
     def release_grant(self, endpoint_id: str) -> None:
         """Return a granted slot that is not used to routing."""
-        self.context.routing.returned(endpoint_id, self.call.caller.prompt_tokens)
+        self.context.routing.return_unused(endpoint_id, self.call.caller.prompt_tokens)
 
     def record_for(self, action: OpenAttempt) -> EndpointRecord | None:
         """Return the endpoint to send to, None if the run may not be sent there."""
@@ -154,7 +158,7 @@
         record = directory.at_address(self._copy_addresses.get(action.endpoint_id, ""))
         if record is None or record.leaving or record.pool != self.call.pool:
             return None
-        return record if self.context.versions.may_have(record) else None
+        return record if self.context.versions.may_receive(record) else None
 
     def place_copy(self, action: OpenAttempt) -> EndpointRecord | None:
         """Choose the endpoint that keeps a copy of a run; None if there is none."""
@@ -164,7 +168,9 @@
         request = evolve(self._request, avoided_zones=frozenset(self._lost_zones))
         now_ms = self.context.clock.now_ms()
         endpoints = self.context.routing.router.endpoints
-        copy_endpoint_id = endpoints.for_copy(request, action.endpoint_id, now_ms)
+        copy_endpoint_id = endpoints.choose_for_copy(
+            request, action.endpoint_id, now_ms
+        )
         record = self.context.site.directory.record(copy_endpoint_id)
         if record is not None:
             self._copy_addresses[copy_endpoint_id] = record.address
--- a/src/coursekeel/gateway/streams/_silence_doubt.py
+++ b/src/coursekeel/gateway/streams/_silence_doubt.py
@@ -14,7 +14,7 @@
 from attrs import define
 
 from coursekeel.gateway._adapters import EndpointReport
-from coursekeel.gateway.endpoints._lived_silences import LivedSilences
+from coursekeel.gateway.endpoints._lived_silences import StallHistory
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 from coursekeel.runtime import Clock
 
@@ -34,7 +34,7 @@
 
     clock: Clock
     reports: LoadReports
-    silences: LivedSilences
+    silences: StallHistory
     pool: str
     run_id: str
     on_lost: Callable[[str], None]
--- a/src/coursekeel/gateway/streams/_stream_attempt.py
+++ b/src/coursekeel/gateway/streams/_stream_attempt.py
@@ -15,7 +15,7 @@
 from coursekeel.answers import (
     AnswerCore,
     AttemptEnded,
-    EndpointSilent,
+    EndpointStalled,
     Event,
     FinishArrived,
     Loss,
@@ -39,7 +39,7 @@
 from coursekeel.gateway._request import AdmittedRequest
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 from coursekeel.gateway.streams._begin_watch import FirstEventWatch
-from coursekeel.gateway.streams._successors import Successors
+from coursekeel.gateway.streams._successors import SuccessorLookup
 
 __all__ = ["AttemptOwner", "StreamAttempt"]
 
@@ -49,12 +49,12 @@
 
     context: GatewayContext
     reports: LoadReports
-    successors: Successors
+    successors: SuccessorLookup
     call: AdmittedRequest
     core: AnswerCore[EventLedger]
 
     @abstractmethod
-    def tell(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Pass an event of the attempt to the core."""
 
     @abstractmethod
@@ -146,7 +146,7 @@
         """Handle an endpoint that has crashed, or doesn't run the request."""
         if report is None:
             self.task.run_lost(self.loss_record("no_report"))
-            self.task.tell(EndpointSilent(self.endpoint_id))
+            self.task.handle_event(EndpointStalled(self.endpoint_id))
         else:
             self._run_lost("not_running")
 
@@ -156,10 +156,10 @@
         ran_ms = (
             None if self._head_received_ms is None else now_ms - self._head_received_ms
         )
-        gave_ms = (
+        streamed_ms = (
             None if self._first_event_ms is None else now_ms - self._first_event_ms
         )
-        return LostRun(self.endpoint_id, why, ran_ms, gave_ms, self._events)
+        return LostRun(self.endpoint_id, why, ran_ms, streamed_ms, self._events)
 
     def may_send(self) -> bool:
         assert self._outbound is not None
@@ -207,12 +207,14 @@
         if not self.from_copy:
             took_ms = self._first_event_ms - self.started_ms
             task.context.versions.first_event(task.call, self.endpoint_id, took_ms)
-        router.succeeded(self.endpoint_id, task.call.route.name)
+        router.record_success(self.endpoint_id, task.call.route.name)
 
     def _events_received(self, numbers: list[int], events: list[bytes]) -> None:
         label = self.task.core.attempts[self.number].label
         position = numbers[0] - 1
-        self.task.tell(TokensArrived(self.number, label, position, numbers, events))
+        self.task.handle_event(
+            TokensArrived(self.number, label, position, numbers, events)
+        )
 
     def ended(self, ending: Ending, reason: str) -> None:
         task = self.task
@@ -239,7 +241,7 @@
         self._record_version_outcome(failed=False)
         self._release(failed=False)
         task.attempt_ended(self.number)
-        task.tell(FinishArrived(self.number, label, position, "end"))
+        task.handle_event(FinishArrived(self.number, label, position, "end"))
 
     def _record_version_outcome(self, failed: bool) -> None:
         context = self.task.context
@@ -287,8 +289,8 @@
             self._end(Loss.REFUSED)
             return
         routing = self.task.context.routing
-        routing.returned(self.endpoint_id, 0)
-        routing.router.sent_to_copy(successor.endpoint_id)
+        routing.return_unused(self.endpoint_id, 0)
+        routing.router.count_run_at_copy(successor.endpoint_id)
         self.endpoint_id = successor.endpoint_id
         self._head = None
         self._head_received_ms = self._first_event_ms = None
@@ -303,7 +305,7 @@
         if not self.from_copy:
             context = self.task.context
             now_ms = context.clock.now_ms()
-            context.routing.router.turned_away(self.endpoint_id, now_ms)
+            context.routing.router.record_refusal(self.endpoint_id, now_ms)
         self._end(Loss.REFUSED)
 
     def _is_final_response(
@@ -330,13 +332,13 @@
             metrics.try_ended(self.task.call, self.endpoint_id, loss.value)
         self._release(failed)
         self.task.attempt_ended(self.number)
-        self.task.tell(AttemptEnded(self.number, loss))
+        self.task.handle_event(AttemptEnded(self.number, loss))
 
     def _release(self, failed: bool) -> None:
         self._stop_watch()
         context = self.task.context
         run_ms = context.clock.now_ms() - self.started_ms
-        context.routing.released(self.endpoint_id, run_ms, failed)
+        context.routing.release(self.endpoint_id, run_ms, failed)
 
     def _stop_watch(self) -> None:
         if self._watch is not None:
--- a/src/coursekeel/gateway/streams/_stream_task.py
+++ b/src/coursekeel/gateway/streams/_stream_task.py
@@ -22,17 +22,17 @@
     Complete,
     CopyPlaced,
     Deliver,
-    EndpointSilent,
+    EndpointGranted,
+    EndpointStalled,
     Event,
-    Expected,
-    Granted,
+    ExpectedModel,
     HeadArrived,
     Interrupt,
     Loss,
     OpenAttempt,
-    SeekEndpoint,
+    RequestEndpoint,
     Started,
-    StopWork,
+    StopSending,
     StreamHead,
     Way,
 )
@@ -46,7 +46,7 @@
 from coursekeel.gateway._retry_budgets import SendAccount
 from coursekeel.gateway.admission._refusals import (
     OTHER_INSTANCE_RETRY_MS,
-    STOPS_ENDPOINTS,
+    REQUEST_BARRED_CODE,
     STREAM_RETRY_MS,
     refusal_after_loss,
     refusal_retry_ms,
@@ -57,7 +57,7 @@
 from coursekeel.gateway.streams._silence_doubt import StallCheck
 from coursekeel.gateway.streams._stream_attempt import AttemptOwner, StreamAttempt
 from coursekeel.gateway.streams._stream_reply import StreamReply
-from coursekeel.gateway.streams._successors import Successors
+from coursekeel.gateway.streams._successors import SuccessorLookup
 from coursekeel.routing import Decision, Grant
 from coursekeel.runtime import AnswerDriver, AnswerShell
 from coursekeel.suspects import QuarantinePass
@@ -75,7 +75,7 @@
 
     context: GatewayContext
     reports: LoadReports
-    successors: Successors
+    successors: SuccessorLookup
     call: AdmittedRequest
     reply: CallerReply
     core: AnswerCore[EventLedger] = field(init=False)
@@ -97,7 +97,7 @@
         self._quarantine_pass = QuarantinePass(context.quarantine, call)
         self.core = AnswerCore(
             call.caller.request_id,
-            Expected(call.pool, "", ""),
+            ExpectedModel(call.pool, "", ""),
             self._policy(),
             EventLedger(call.caller.resume_after or 0),
         )
@@ -107,15 +107,15 @@
             context.reactor,
             context.clock,
             _OWN_PAUSE_MS,
-            silence_counts=self._stalled_runs_lost,
+            stall_is_loss=self._stalled_runs_lost,
         )
         self._stall_check = StallCheck(
             context.clock,
             self.reports,
-            context.lived,
+            context.stall_history,
             call.pool,
             call.caller.request_id,
-            lambda endpoint_id: self.tell(EndpointSilent(endpoint_id)),
+            lambda endpoint_id: self.handle_event(EndpointStalled(endpoint_id)),
             lambda: not self._send_account.budget.is_spent(context.clock.now_ms()),
         )
 
@@ -139,7 +139,7 @@
         """
         call, timers = self.call, self.context.settings.timers
         resumable = call.route.kind is RouteKind.RESUMABLE
-        left_ms = call.due_ms - self.context.clock.now_ms()
+        left_ms = call.deadline_ms - self.context.clock.now_ms()
         return AnswerPolicy(
             patience_ms=max(int(left_ms), 1),
             first_token_ms=math.inf,
@@ -147,8 +147,8 @@
             races=False,
             deaths_before_stop=max(call.route.tries, 1) if resumable else 1,
             # The quarantine decides which requests crash endpoints.
-            sound_after_ms=0,
-            own_stream_tries=0,
+            reset_losses_after_ms=0,
+            reread_tries=0,
             retry_after_ms=int(STREAM_RETRY_MS),
         )
 
@@ -156,21 +156,21 @@
         """Start the first search; the task sends the reply itself."""
         self.reply.on_gone(self._caller_left)
         self._send_account.budget.requested(self.context.clock.now_ms())
-        self.tell(Started())
+        self.handle_event(Started())
 
-    def tell(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Pass an event to the core; one that arrives meanwhile is queued."""
-        self._driver.tell(event)
+        self._driver.handle_event(event)
 
-    def event_taken(self, event: Event, actions: list[Action]) -> None:
+    def event_handled(self, event: Event, actions: list[Action]) -> None:
         """Release a granted slot if the run continues from a copy instead."""
-        if isinstance(event, Granted) and not _opens_attempt(actions):
+        if isinstance(event, EndpointGranted) and not _opens_attempt(actions):
             self._placement.release_grant(event.endpoint_id)
 
     def carry_out(self, action: Action, now_ms: float) -> None:
         """Carry out one action of the core."""
         match action:
-            case SeekEndpoint():
+            case RequestEndpoint():
                 self._search(action)
             case OpenAttempt():
                 self._open_attempt(action)
@@ -182,12 +182,12 @@
                 self._complete()
             case Interrupt():
                 self._interrupt(action)
-            case StopWork():
+            case StopSending():
                 self._stop_work()
 
     # Searching.
 
-    def _search(self, action: SeekEndpoint) -> None:
+    def _search(self, action: RequestEndpoint) -> None:
         if self._refusal_code:
             self._refuse()
         else:
@@ -195,10 +195,10 @@
 
     def _placement_decided(self, decision: Decision) -> None:
         if isinstance(decision, Grant):
-            self.tell(Granted(decision.endpoint_id))
+            self.handle_event(EndpointGranted(decision.endpoint_id))
             return
         self._refusal_code = decision.code
-        left_ms = self.call.due_ms - self.context.clock.now_ms()
+        left_ms = self.call.deadline_ms - self.context.clock.now_ms()
         self._retry_after_ms = refusal_retry_ms(
             decision.code, decision.retry_after_ms, left_ms, self.context.random
         )
@@ -210,7 +210,7 @@
         self._stream_reply.refuse_or_cut(
             refusal_without_endpoint(run, self._refusal_code, self._retry_after_ms)
         )
-        self.tell(Cancelled())
+        self.handle_event(Cancelled())
 
     # Attempts.
 
@@ -222,7 +222,7 @@
         if action.way is not Way.COPY:
             # A copy's slot wasn't granted; it is counted when the run is sent there.
             self._placement.release_grant(action.endpoint_id)
-        self.tell(AttemptEnded(action.attempt, Loss.NOT_SENT))
+        self.handle_event(AttemptEnded(action.attempt, Loss.NOT_SENT))
 
     @property
     def _has_new_events(self) -> bool:
@@ -237,7 +237,7 @@
         if not self.context.site.may_still_send(self.call, self._has_new_events):
             self._refusal_code = "belief_old"
         elif not self._quarantine_pass.may_send():
-            self._refusal_code = STOPS_ENDPOINTS
+            self._refusal_code = REQUEST_BARRED_CODE
             self._retry_after_ms = self._quarantine_pass.barred_ms
             return False
         elif not self._send_account.may_send(self.context.clock.now_ms()):
@@ -253,9 +253,9 @@
         record = context.site.directory.record(endpoint.endpoint_id)
         if record is None or record.leaving:
             return False
-        if context.clock.now_ms() >= self.call.due_ms:
+        if context.clock.now_ms() >= self.call.deadline_ms:
             return False
-        if not context.versions.may_have(record):
+        if not context.versions.may_receive(record):
             return False
         may_act = context.site.may_still_send(self.call, self._has_new_events)
         return may_act and self._quarantine_pass.may_send()
@@ -265,10 +265,10 @@
         now_ms = context.clock.now_ms()
         ways.append(action.way.value)
         if action.way is Way.COPY:
-            context.routing.router.sent_to_copy(action.endpoint_id)
+            context.routing.router.count_run_at_copy(action.endpoint_id)
         copy = self._placement.place_copy(action)
         if copy is not None:
-            self.tell(CopyPlaced(action.attempt, copy.endpoint_id))
+            self.handle_event(CopyPlaced(action.attempt, copy.endpoint_id))
         copy_to = copy.address if copy else ""
         context.metrics.chosen(
             self.call,
@@ -294,7 +294,7 @@
             record,
             call.caller.request_id,
             call.team_name,
-            call.due_ms - now_ms,
+            call.deadline_ms - now_ms,
             resume_after=position if position or from_copy else None,
             copy_to=copy_to,
             copy_from=record.address if from_copy else "",
@@ -331,13 +331,13 @@
         # The dialect has checked the head; the core's checks of model and label are for
         # engines that echo them.
         checked = StreamHead(label, label, self.call.pool, "", "", "", position)
-        self.tell(HeadArrived(attempt, checked))
+        self.handle_event(HeadArrived(attempt, checked))
 
     def final_response_received(self, head: ExchangeHead, body: bytes) -> None:
         """Pass on a final response that is not a stream, and end the task."""
         self._stream_reply.final_response_received(head, body)
-        self.context.quarantine.proved_sound(self.call)
-        self.tell(Cancelled())
+        self.context.quarantine.report_success(self.call)
+        self.handle_event(Cancelled())
 
     def run_lost(self, lost: LostRun) -> None:
         """Report a lost run to the reply, placement, rollouts and the crash watch."""
@@ -361,7 +361,7 @@
 
     def _complete(self) -> None:
         self._stream_reply.log_completed()
-        self.context.quarantine.proved_sound(self.call)
+        self.context.quarantine.report_success(self.call)
         if self.call.caller.resume_after is None:
             took_ms = self.context.clock.now_ms() - self.call.arrived_ms
             self.context.lengths.stream_finished(self.call.route.name, took_ms)
@@ -377,7 +377,7 @@
     def _caller_left(self) -> None:
         if not self.core.ended:
             self._stream_reply.caller_left()
-            self.tell(Cancelled())
+            self.handle_event(Cancelled())
 
     def _stop_work(self) -> None:
         self._placement.stop()
--- a/src/coursekeel/gateway/streams/_successors.py
+++ b/src/coursekeel/gateway/streams/_successors.py
@@ -8,7 +8,7 @@
 Reason: a restart is listed after a second or two, and not at all during an outage of
 the store. Meanwhile the endpoint's capacity and the copies it keeps would be unused.
 
-Owns the pending report requests. Relies on `LoadReports`, and on `KnownSite` to adopt.
+Owns the pending report requests. Relies on `LoadReports`, and on `SiteState` to adopt.
 """
 
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 from coursekeel.gateway._context import GatewayContext
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 
-__all__ = ["Successors"]
+__all__ = ["SuccessorLookup"]
 
 _OnFound = Callable[[EndpointRecord | None], None]
 
 
 @define(eq=False)
-class Successors:
+class SuccessorLookup:
     """Finds the endpoint that has another's address now; shared by all streams."""
 
     context: GatewayContext
--- a/src/coursekeel/gateway/whole/_whole_task.py
+++ b/src/coursekeel/gateway/whole/_whole_task.py
@@ -13,16 +13,16 @@
 
 from coursekeel.answers import RunState
 from coursekeel.calls import (
-    Begin,
     CallAction,
+    CallArrived,
     CallCore,
     CallEvent,
     CallPolicy,
     CallReply,
-    Reply,
-    Send,
+    SendCall,
     SendEnded,
     SendOutcome,
+    SendReply,
     ServiceReply,
 )
 from coursekeel.forwarding import EndpointRecord, RouteKind
@@ -33,7 +33,7 @@
 from coursekeel.gateway._retry_budgets import SendAccount
 from coursekeel.gateway.admission._queue_deadline import queue_deadline_ms
 from coursekeel.gateway.admission._refusals import (
-    STOPS_ENDPOINTS,
+    REQUEST_BARRED_CODE,
     WHOLE_RETRY_MS,
     GatewayRefusal,
     refusal_after_loss,
@@ -91,12 +91,12 @@
         """Start the deadline and the first search; the task sends the reply itself."""
         context = self.context
         self.reply.on_gone(self._caller_left)
-        left_ms = self.call.due_ms - context.clock.now_ms()
+        left_ms = self.call.deadline_ms - context.clock.now_ms()
         self._deadline_timer = context.reactor.callLater(
             max(left_ms, 0) / 1000, self._deadline_reached
         )
         self._send_account.budget.requested(context.clock.now_ms())
-        self._handle(Begin())
+        self._handle(CallArrived())
 
     def _handle(self, event: CallEvent) -> None:
         for action in self.core.handle(event):
@@ -104,9 +104,9 @@
 
     def _carry_out(self, action: CallAction) -> None:
         match action:
-            case Send():
+            case SendCall():
                 self._search()
-            case Reply():
+            case SendReply():
                 self._send_reply(action.reply)
             case _:
                 raise AssertionError(
@@ -137,7 +137,7 @@
     def _placement_decided(self, decision: Decision) -> None:
         self._request_number = None
         if not isinstance(decision, Grant):
-            left_ms = self.call.due_ms - self.context.clock.now_ms()
+            left_ms = self.call.deadline_ms - self.context.clock.now_ms()
             self._retry_after_ms = refusal_retry_ms(
                 decision.code, decision.retry_after_ms, left_ms, self.context.random
             )
@@ -158,7 +158,7 @@
             self._release_grant(endpoint_id)
             self._handle(SendEnded(SendOutcome.NOT_SENT))
         elif code:
-            if code == STOPS_ENDPOINTS:
+            if code == REQUEST_BARRED_CODE:
                 self._retry_after_ms = self._quarantine_pass.barred_ms
             self._release_grant(endpoint_id)
             self._placement_refused(code)
@@ -172,13 +172,13 @@
 
     @property
     def _remaining_ms(self) -> float:
-        return self.call.due_ms - self.context.clock.now_ms()
+        return self.call.deadline_ms - self.context.clock.now_ms()
 
     def _current_refusal_code(self) -> str:
         """Return why the request may be sent nowhere now; empty if it may be sent."""
         if not self.context.site.may_still_send(self.call):
             return "belief_old"
-        return "" if self._quarantine_pass.may_send() else STOPS_ENDPOINTS
+        return "" if self._quarantine_pass.may_send() else REQUEST_BARRED_CODE
 
     def may_still_send(self, endpoint_id: str) -> bool:
         """Return whether the request may still be sent, once its connection is open."""
@@ -186,12 +186,13 @@
         if record is None or record.leaving:
             return False
         return (
-            self.context.versions.may_have(record) and not self._current_refusal_code()
+            self.context.versions.may_receive(record)
+            and not self._current_refusal_code()
         )
 
     def _release_grant(self, endpoint_id: str) -> None:
         prompt_tokens = self.call.caller.prompt_tokens
-        self.context.routing.returned(endpoint_id, prompt_tokens)
+        self.context.routing.return_unused(endpoint_id, prompt_tokens)
         self._send_account.not_sent()
 
     def _open_try(self, record: EndpointRecord) -> None:
@@ -234,7 +235,7 @@
         reply = call_reply.reply
         if reply is not None:
             self._log_end("answered", reply.status)
-            self.context.quarantine.proved_sound(self.call)
+            self.context.quarantine.report_success(self.call)
             self.reply.whole(reply.status, reply.headers, reply.body)
             return
         not_run = call_reply.run is RunState.NOT_RUN
--- a/src/coursekeel/gateway/whole/_whole_try.py
+++ b/src/coursekeel/gateway/whole/_whole_try.py
@@ -79,11 +79,11 @@
             self._report_run_lost(reason)
         if not failed:
             router = self.context.routing.router
-            router.succeeded(self.endpoint_id, self.call.route.name)
+            router.record_success(self.endpoint_id, self.call.route.name)
         self._release(failed)
         if outcome is SendOutcome.TURNED_AWAY:
             now_ms = self.context.clock.now_ms()
-            self.context.routing.router.turned_away(self.endpoint_id, now_ms)
+            self.context.routing.router.record_refusal(self.endpoint_id, now_ms)
         self.owner.try_ended(outcome)
 
     def abandon(self) -> None:
@@ -157,7 +157,7 @@
 
     def _release(self, failed: bool) -> None:
         run_ms = self.context.clock.now_ms() - self._started_ms
-        self.context.routing.released(self.endpoint_id, run_ms, failed)
+        self.context.routing.release(self.endpoint_id, run_ms, failed)
 
     def _cancel_limit_timer(self) -> None:
         if self._limit_timer is not None:
--- a/src/coursekeel/group/_proofs.py
+++ b/src/coursekeel/group/_proofs.py
@@ -45,7 +45,7 @@
         elif current is None or confirmed_ms > current.confirmed_ms:
             confirmations[address] = _Confirmation(stamp, confirmed_ms)
 
-    def freshest(self, table: str) -> tuple[str, float]:
+    def latest_confirmation(self, table: str) -> tuple[str, float]:
         """The member with the latest confirmation and its time; "", -inf without."""
         confirmations = self._by_table.get(table, {})
         address = max(
@@ -62,7 +62,7 @@
         """The latest confirmation of each table, to be sent to other members."""
         hints = []
         for table, confirmations in self._by_table.items():
-            address, confirmed_ms = self.freshest(table)
+            address, confirmed_ms = self.latest_confirmation(table)
             age_ms = max(0.0, round(now_ms - confirmed_ms, 1))
             if math.isfinite(age_ms):
                 hints.append(
--- a/src/coursekeel/group/_swim.py
+++ b/src/coursekeel/group/_swim.py
@@ -141,7 +141,7 @@
         own = set() if self._left else {self.zone}
         return sorted(own | self._members.zones())
 
-    def holder(self, zone: str) -> str:
+    def store_reader(self, zone: str) -> str:
         """The address of the member that queries the store for a zone; empty if none.
 
         Members with the same view agree, by hashing instead of an election. With
@@ -150,7 +150,7 @@
         addresses = self.alive(zone)
         return max(addresses, key=_weight, default="")
 
-    def chosen(self, name: str, count: int = 1) -> list[str]:
+    def members_for(self, name: str, count: int = 1) -> list[str]:
         """The addresses of ``count`` members that do the task ``name``, by hashing.
 
         Members with the same view agree.
@@ -158,13 +158,13 @@
         addresses = self.alive()
         return sorted(addresses, key=lambda a: -_weight(f"{name}/{a}"))[:count]
 
-    def in_touch(self, now_ms: float) -> bool:
+    def reaches_majority(self, now_ms: float) -> bool:
         """Whether this member received a message lately and reaches most members."""
         if now_ms - self._last_received_ms > 2 * self.timers.period_ms:
             return False
         return 2 * len(self.alive()) > self.known
 
-    def proved(self, table: str, moment_ms: float) -> None:
+    def record_confirmation(self, table: str, moment_ms: float) -> None:
         """Record that the store confirmed this member's copy of a table.
 
         ``moment_ms`` is the time of the confirmation; -inf is ignored.
@@ -172,9 +172,9 @@
         if math.isfinite(moment_ms):
             self._confirmations.record(table, self.own, int(moment_ms), moment_ms)
 
-    def freshest(self, table: str) -> tuple[str, float]:
+    def latest_confirmation(self, table: str) -> tuple[str, float]:
         """The member with the latest confirmation of a table, and about when it was."""
-        return self._confirmations.freshest(table)
+        return self._confirmations.latest_confirmation(table)
 
     # Timers.
 
--- a/src/coursekeel/intents/__init__.py
+++ b/src/coursekeel/intents/__init__.py
@@ -21,13 +21,13 @@
     check_intent,
     make_plan,
 )
-from coursekeel.intents._rollout import PeerEvidence, Rollout, waits_for
+from coursekeel.intents._rollout import InstanceEvidence, Rollout, instances_to_wait_for
 from coursekeel.intents._store import (
     CONFIGURATION_KEY,
     ConfigurationStore,
     Confirmed,
     Stale,
-    StoreSilent,
+    StoreUnavailable,
     UnknownPlan,
     plan_key,
 )
@@ -43,22 +43,22 @@
     "Delivery",
     "EndpointIntent",
     "EndpointKind",
+    "InstanceEvidence",
     "Intent",
     "ModelIntent",
     "ModelName",
-    "PeerEvidence",
     "Plan",
     "Rollout",
     "RouteIntent",
     "ServiceIntent",
     "Stale",
-    "StoreSilent",
+    "StoreUnavailable",
     "TeamIntent",
     "UnknownPlan",
     "check_intent",
+    "instances_to_wait_for",
     "intent_from_json",
     "intent_to_json",
     "make_plan",
     "plan_key",
-    "waits_for",
 ]
--- a/src/coursekeel/intents/_rollout.py
+++ b/src/coursekeel/intents/_rollout.py
@@ -11,11 +11,11 @@
 
 from coursekeel.charts import Machine, load_chart
 
-__all__ = ["PeerEvidence", "Rollout", "waits_for"]
+__all__ = ["InstanceEvidence", "Rollout", "instances_to_wait_for"]
 
 
 @frozen
-class PeerEvidence:
+class InstanceEvidence:
     """The last state of one instance that the observer has seen.
 
     ``refused_connection`` says that its address refuses connections. Such an instance
@@ -27,10 +27,10 @@
     refused_connection: bool = False
 
 
-def waits_for(
+def instances_to_wait_for(
     revision: int,
     listed: Iterable[str],
-    evidence: dict[str, PeerEvidence],
+    evidence: dict[str, InstanceEvidence],
     known_stopped: frozenset[str] = frozenset(),
 ) -> list[str]:
     """The listed instances that may still serve with a revision below ``revision``.
@@ -45,7 +45,7 @@
     ]
 
 
-def _cannot_serve_older(revision: int, evidence: PeerEvidence | None) -> bool:
+def _cannot_serve_older(revision: int, evidence: InstanceEvidence | None) -> bool:
     """Whether an instance surely serves no revision below ``revision``."""
     if evidence is None:
         return False
@@ -75,10 +75,12 @@
         self.machine.feed("confirmed")
 
     def review(
-        self, listed: Iterable[str], evidence: dict[str, PeerEvidence]
+        self, listed: Iterable[str], evidence: dict[str, InstanceEvidence]
     ) -> list[str]:
         """Update `waiting` and return it; accept the revision if it is empty."""
-        self.waiting = waits_for(self.revision, listed, evidence, self.known_stopped)
+        self.waiting = instances_to_wait_for(
+            self.revision, listed, evidence, self.known_stopped
+        )
         if not self.waiting and self.machine.state == "committed":
             self.machine.feed("acknowledged")
         return self.waiting
--- a/src/coursekeel/intents/_store.py
+++ b/src/coursekeel/intents/_store.py
@@ -18,7 +18,7 @@
     "ConfigurationStore",
     "Confirmed",
     "Stale",
-    "StoreSilent",
+    "StoreUnavailable",
     "UnknownPlan",
     "plan_key",
 ]
@@ -46,7 +46,7 @@
 
 
 @frozen
-class StoreSilent:
+class StoreUnavailable:
     """The store doesn't respond; if ``unsure``, the confirm may have taken effect."""
 
     unsure: bool
@@ -77,21 +77,21 @@
         row = rows.rows.get(CONFIGURATION_KEY)
         return Configuration() if row is None else Configuration.from_json(row.value)
 
-    async def keep(self, plan: Plan) -> Committed | StoreSilent:
+    async def keep(self, plan: Plan) -> Committed | StoreUnavailable:
         """Store a plan, so that it can be confirmed later."""
         write = Transaction(writes={plan_key(plan.plan_id): plan.to_json()})
         outcome = await self.platform.transact(write)
         if isinstance(outcome, Committed):
             return outcome
-        return StoreSilent(False, "the plan could not be stored; plan again")
+        return StoreUnavailable(False, "the plan could not be stored; plan again")
 
     async def confirm(
         self, plan_id: str
-    ) -> Confirmed | Stale | StoreSilent | UnknownPlan:
+    ) -> Confirmed | Stale | StoreUnavailable | UnknownPlan:
         """Commit a plan as the next revision, at most once."""
         rows = await self.platform.read([CONFIGURATION_KEY, plan_key(plan_id)])
         if isinstance(rows, Unavailable):
-            return StoreSilent(False, rows.reason)
+            return StoreUnavailable(False, rows.reason)
         plan_row = rows.rows.get(plan_key(plan_id))
         if plan_row is None:
             return UnknownPlan()
@@ -103,7 +103,7 @@
 
     async def _write(
         self, plan: Plan, plan_row: Row, current: Row | None
-    ) -> Confirmed | Stale | StoreSilent | UnknownPlan:
+    ) -> Confirmed | Stale | StoreUnavailable | UnknownPlan:
         configuration = Configuration(plan.on_revision + 1, plan.intent, plan.plan_id)
         value = {**configuration.to_json(), "before": _previous_revision(current)}
         confirmed_plan = {
@@ -126,26 +126,26 @@
                     plan.plan_id, "a concurrent write conflicted"
                 )
             case Unavailable():
-                return StoreSilent(False, outcome.reason)
+                return StoreUnavailable(False, outcome.reason)
             case _:
                 return await self._read_outcome(plan.plan_id, outcome.reason)
 
     async def _read_outcome(
         self, plan_id: str, reason: str
-    ) -> Confirmed | Stale | StoreSilent | UnknownPlan:
+    ) -> Confirmed | Stale | StoreUnavailable | UnknownPlan:
         """Determine the outcome of a write by reading the rows back.
 
         ``reason`` says why the outcome is unknown.
         """
         rows = await self.platform.read([CONFIGURATION_KEY, plan_key(plan_id)])
         if isinstance(rows, Unavailable):
-            return StoreSilent(True, f"{reason}: {rows.reason}")
+            return StoreUnavailable(True, f"{reason}: {rows.reason}")
         return _outcome_from_rows(rows, plan_id, reason)
 
 
 def _outcome_from_rows(
     rows: Rows, plan_id: str, reason: str
-) -> Confirmed | Stale | StoreSilent | UnknownPlan:
+) -> Confirmed | Stale | StoreUnavailable | UnknownPlan:
     """The outcome of a write that the rows read back show."""
     plan_row = rows.rows.get(plan_key(plan_id))
     if plan_row is None:
@@ -153,7 +153,7 @@
     known_outcome = _known_outcome(plan_row, rows.rows.get(CONFIGURATION_KEY))
     # The write may still take effect although the rows don't show it yet. Confirming
     # again is safe, because the compare-and-set lets only one write through.
-    return known_outcome or StoreSilent(True, reason)
+    return known_outcome or StoreUnavailable(True, reason)
 
 
 def _known_outcome(plan_row: Row, current: Row | None) -> Confirmed | Stale | None:
--- a/src/coursekeel/membership/_isolation.py
+++ b/src/coursekeel/membership/_isolation.py
@@ -16,7 +16,7 @@
     limit_ms: float
     _reached_ms: float = float("-inf")
 
-    def reached(self, asked_ms: float) -> None:
+    def record_response(self, asked_ms: float) -> None:
         """Record that the platform or a peer responded to a request of ``asked_ms``."""
         self._reached_ms = max(self._reached_ms, asked_ms)
 
--- a/src/coursekeel/membership/_lease.py
+++ b/src/coursekeel/membership/_lease.py
@@ -53,7 +53,7 @@
     step_ms: float
     _watched: dict[str, _Watched] = field(factory=dict)
 
-    def saw(self, key: str, version: int, now_ms: float) -> None:
+    def record_version(self, key: str, version: int, now_ms: float) -> None:
         """Record the version of the lease's row that a read returned."""
         watched = self._watched.get(key)
         if watched is None or watched.version != version:
@@ -62,7 +62,7 @@
         watched.unchanged_ms += min(now_ms - watched.read_ms, 2 * self.step_ms)
         watched.read_ms = now_ms
 
-    def lapsed(self, key: str) -> bool:
+    def is_lapsed(self, key: str) -> bool:
         """Whether the lease wasn't renewed for its length and margin."""
         watched = self._watched.get(key)
         if watched is None:
@@ -78,9 +78,9 @@
 class GroupLease:
     """One instance's lease on a row, acquired and renewed by compare-and-set.
 
-    `take` and `renew` build transactions; the caller sends them and passes the outcome
-    to `answered`. ``epoch`` grows each time that the lease is acquired, and fences what
-    is done under it. ``version`` is that of the row.
+    `acquire` and `renew` build transactions; the caller sends them and passes the
+    outcome to `apply_outcome`. ``epoch`` grows each time that the lease is acquired,
+    and fences what is done under it. ``version`` is that of the row.
     """
 
     key: str
@@ -102,7 +102,7 @@
         """Whether the lease surely lasts for ``need_ms`` more."""
         return self._machine.state == "held" and now_ms + need_ms < self.held_until_ms
 
-    def take(self, row: Row | None, now_ms: float) -> Transaction:
+    def acquire(self, row: Row | None, now_ms: float) -> Transaction:
         """Acquire a free or lapsed lease; ``row`` is its row, None if there is none."""
         last_epoch = row.value["epoch"] if row else 0
         self._asked_epoch = last_epoch + 1
@@ -118,14 +118,14 @@
         value = {"holder": self.holder, "epoch": self._asked_epoch, "free": False}
         return Transaction({self.key: version}, {self.key: value})
 
-    def hand_back(self) -> Transaction:
+    def release(self) -> Transaction:
         """Release the lease early, so that a successor need not wait."""
         value = {"holder": self.holder, "epoch": self.epoch, "free": True}
         self._machine.feed("handed_back" if self.state != "free" else "refused")
         self.held_until_ms = float("-inf")
         return Transaction({self.key: self.version}, {self.key: value})
 
-    def answered(self, outcome: TransactOutcome) -> None:
+    def apply_outcome(self, outcome: TransactOutcome) -> None:
         """Apply the outcome of the last transaction."""
         match outcome:
             case Committed():
--- a/src/coursekeel/membership/_outage.py
+++ b/src/coursekeel/membership/_outage.py
@@ -35,6 +35,6 @@
         self._paused = False
 
     @property
-    def outage_counts(self) -> bool:
+    def outage_is_conclusive(self) -> bool:
         """Whether an outage of the store is conclusive: no pause since `proven`."""
         return not self._paused
--- a/src/coursekeel/membership/_peers.py
+++ b/src/coursekeel/membership/_peers.py
@@ -48,7 +48,7 @@
     fan_out: int = 2
     _peers: dict[str, _Peer] = field(factory=dict)
 
-    def listed(self, addresses: dict[str, str]) -> None:
+    def set_listed(self, addresses: dict[str, str]) -> None:
         """Apply the platform's list of addresses by id; others are removed."""
         others = {k: v for k, v in addresses.items() if k != self.instance_id}
         kept = {k: peer for k, peer in self._peers.items() if k in others}
@@ -57,12 +57,12 @@
             peer.address = address
         self._peers = kept
 
-    def learned(self, instance_id: str, address: str) -> None:
+    def add_peer(self, instance_id: str, address: str) -> None:
         """Add a peer, or set its address, from the store's rows."""
         if instance_id != self.instance_id:
             self._peers.setdefault(instance_id, _Peer()).address = address
 
-    def heard(self, greeting: Greeting) -> None:
+    def record_greeting(self, greeting: Greeting) -> None:
         """Store a received greeting.
 
         One of the same incarnation with an older configuration is ignored.
@@ -75,14 +75,14 @@
         peer.greeting = greeting
         peer.refused = False
 
-    def refused(self, instance_id: str) -> None:
+    def record_refused_connection(self, instance_id: str) -> None:
         """Record that the peer's address refused a connection: it doesn't run."""
         peer = self._peers.get(instance_id)
         if peer is not None:
             peer.refused = True
             peer.greeting = None
 
-    def to_tell(self) -> list[str]:
+    def peers_to_greet(self) -> list[str]:
         """The peers to greet in this round, chosen at random."""
         reachable = [name for name, peer in self._peers.items() if peer.address]
         return self.random.sample(reachable, min(self.fan_out, len(reachable)))
--- a/src/coursekeel/quarantine/_gossip.py
+++ b/src/coursekeel/quarantine/_gossip.py
@@ -21,10 +21,10 @@
 from coursekeel.quarantine._messages import (
     QuarantineKind,
     QuarantineMessage,
-    ToldRecord,
+    SentRecord,
     encode_quarantine,
     record_of,
-    told_of,
+    to_sent_record,
 )
 from coursekeel.quarantine._quarantine import Quarantine
 from coursekeel.quarantine._record import SuspectRecord
@@ -71,10 +71,10 @@
         self, records: list[SuspectRecord], now_ms: float
     ) -> list[QuarantineOutgoing]:
         """Send records that this member itself changed to all others."""
-        sent_records = [told_of(record, now_ms) for record in records]
+        sent_records = [to_sent_record(record, now_ms) for record in records]
         return list(self._send(self.others(), sent_records))
 
-    def heard_digest(self, sender: str, digest: str) -> list[QuarantineOutgoing]:
+    def receive_digest(self, sender: str, digest: str) -> list[QuarantineOutgoing]:
         """Offer the records to a sender whose digest differs and isn't empty."""
         if not digest or digest == self.quarantine.digest:
             return []
@@ -129,7 +129,9 @@
             if address in current
         }
         self._full_send_ms[receiver] = now_ms
-        records = [told_of(record, now_ms) for record in self.quarantine.known(now_ms)]
+        records = [
+            to_sent_record(record, now_ms) for record in self.quarantine.known(now_ms)
+        ]
         return list(self._send([receiver], records, request.answer_token))
 
     def _merge_news(
@@ -147,7 +149,7 @@
         return list(self._send(receivers, changed))
 
     def _send(
-        self, addresses: Iterable[str], records: list[ToldRecord], token: int = 0
+        self, addresses: Iterable[str], records: list[SentRecord], token: int = 0
     ) -> Iterator[QuarantineOutgoing]:
         messages = list(self._news_messages(records, token))
         for address in addresses:
@@ -155,7 +157,7 @@
                 yield QuarantineOutgoing(address, message)
 
     def _news_messages(
-        self, records: list[ToldRecord], token: int
+        self, records: list[SentRecord], token: int
     ) -> Iterator[QuarantineMessage]:
         """Put as many records into each datagram as fit, and at least one."""
         news = self._message(QuarantineKind.NEWS, token)
@@ -176,5 +178,5 @@
         )
 
 
-def _size_bytes(news: QuarantineMessage, records: list[ToldRecord]) -> int:
+def _size_bytes(news: QuarantineMessage, records: list[SentRecord]) -> int:
     return len(encode_quarantine(evolve(news, records=tuple(records))))
--- a/src/coursekeel/quarantine/_messages.py
+++ b/src/coursekeel/quarantine/_messages.py
@@ -23,23 +23,23 @@
 from coursekeel.strict import faults_of, message_converter
 
 __all__ = [
-    "MARK",
-    "KeptSuspect",
+    "QUARANTINE_PREFIX",
     "QuarantineKind",
     "QuarantineMessage",
+    "StoredSuspect",
     "UnreadableQuarantine",
-    "decode_kept",
     "decode_quarantine",
-    "decode_told",
-    "encode_kept",
+    "decode_sent_record",
+    "decode_stored",
     "encode_quarantine",
-    "encode_told",
+    "encode_sent_record",
+    "encode_stored",
     "record_of",
-    "told_of",
+    "to_sent_record",
 ]
 
 # SWIM messages are JSON objects, so none begins with this letter.
-MARK = b"Q"
+QUARANTINE_PREFIX = b"Q"
 _MAX_FAULT_CHARACTERS = 200
 
 
@@ -58,7 +58,7 @@
 
 
 @frozen
-class ToldStrike:
+class SentStrike:
     """A `Strike` as it is sent; it is from ``age_ms`` ago."""
 
     endpoint: str
@@ -67,7 +67,7 @@
 
 
 @frozen
-class ToldRecord:
+class SentRecord:
     """A `SuspectRecord` as it is sent, with ages instead of times.
 
     ``changed_age_ms`` is None while epoch and trials are 0.
@@ -76,7 +76,7 @@
     fingerprint: str
     epoch: int
     trials: int
-    strikes: tuple[ToldStrike, ...] = ()
+    strikes: tuple[SentStrike, ...] = ()
     changed_age_ms: float | None = field(
         default=None, metadata={"key": "changed_age_ms"}
     )
@@ -95,7 +95,7 @@
     digest: str
     token: int = 0
     answer_token: int = field(default=0, metadata={"key": "answer_token"})
-    records: tuple[ToldRecord, ...] = ()
+    records: tuple[SentRecord, ...] = ()
 
 
 @frozen
@@ -106,33 +106,33 @@
 
 
 @frozen
-class KeptSuspect:
+class StoredSuspect:
     """A record as it is stored, at ``stored_ms`` by the store's clock."""
 
-    record: ToldRecord
+    record: SentRecord
     stored_ms: float = field(metadata={"key": "stored_ms"})
 
 
 _DecodedT = TypeVar("_DecodedT")
-_CONVERTER = message_converter(ToldStrike, ToldRecord, QuarantineMessage, KeptSuspect)
+_CONVERTER = message_converter(SentStrike, SentRecord, QuarantineMessage, StoredSuspect)
 
 
-def told_of(record: SuspectRecord, now_ms: float) -> ToldRecord:
+def to_sent_record(record: SuspectRecord, now_ms: float) -> SentRecord:
     """Convert a record to the form in which it is sent or stored now."""
     strikes = tuple(
-        ToldStrike(strike.endpoint_id, strike.sign, _age_ms(strike.at_ms, now_ms))
+        SentStrike(strike.endpoint_id, strike.sign, _age_ms(strike.at_ms, now_ms))
         for strike in record.strikes
     )
     changed = record.epoch or record.trials
     age_ms = _age_ms(record.changed_ms, now_ms) if changed else None
-    return ToldRecord(record.fingerprint, record.epoch, record.trials, strikes, age_ms)
+    return SentRecord(record.fingerprint, record.epoch, record.trials, strikes, age_ms)
 
 
 def _age_ms(time_ms: float, now_ms: float) -> float:
     return max(0.0, round(now_ms - time_ms, 1))
 
 
-def record_of(sent: ToldRecord, now_ms: float) -> SuspectRecord:
+def record_of(sent: SentRecord, now_ms: float) -> SuspectRecord:
     """Convert a record that was received now from the form in which it was sent."""
     record = SuspectRecord(sent.fingerprint, sent.epoch, sent.trials)
     if sent.changed_age_ms is not None:
@@ -140,31 +140,31 @@
         record = attrs.evolve(record, changed_ms=changed_ms)
     for strike in sent.strikes:
         at_ms = now_ms - max(0.0, strike.age_ms)
-        record = record.struck(Strike(strike.endpoint, strike.sign, at_ms))
+        record = record.with_strike(Strike(strike.endpoint, strike.sign, at_ms))
     return record
 
 
-def encode_kept(kept: KeptSuspect) -> bytes:
+def encode_stored(kept: StoredSuspect) -> bytes:
     """Encode a record for the store."""
     return orjson.dumps(attrs.asdict(kept, value_serializer=_plain))
 
 
-def decode_kept(data: bytes) -> KeptSuspect | UnreadableQuarantine:
+def decode_stored(data: bytes) -> StoredSuspect | UnreadableQuarantine:
     """Decode a stored record."""
-    kept = _decode(data, KeptSuspect, whole="row")
+    kept = _decode(data, StoredSuspect, whole="row")
     if isinstance(kept, UnreadableQuarantine):
         return kept
     return _validated(kept, (kept.record,))
 
 
-def encode_told(sent: ToldRecord) -> bytes:
+def encode_sent_record(sent: SentRecord) -> bytes:
     """Encode a single record, for members that are connected by gRPC."""
     return orjson.dumps(attrs.asdict(sent, value_serializer=_plain))
 
 
-def decode_told(data: bytes) -> ToldRecord | UnreadableQuarantine:
+def decode_sent_record(data: bytes) -> SentRecord | UnreadableQuarantine:
     """Decode a single record."""
-    sent = _decode(data, ToldRecord, whole="record")
+    sent = _decode(data, SentRecord, whole="record")
     if isinstance(sent, UnreadableQuarantine):
         return sent
     return _validated(sent, (sent,))
@@ -182,7 +182,9 @@
 
 def encode_quarantine(message: QuarantineMessage) -> bytes:
     """Encode a message as a datagram."""
-    return MARK + orjson.dumps(attrs.asdict(message, value_serializer=_plain))
+    return QUARANTINE_PREFIX + orjson.dumps(
+        attrs.asdict(message, value_serializer=_plain)
+    )
 
 
 def _plain(_owner: object, _field: object, value: object) -> object:
@@ -190,26 +192,28 @@
 
 
 def decode_quarantine(data: bytes) -> QuarantineMessage | UnreadableQuarantine:
-    """Decode a datagram that begins with `MARK`."""
+    """Decode a datagram that begins with `QUARANTINE_PREFIX`."""
     if len(data) > MAX_MESSAGE_BYTES:
         return UnreadableQuarantine(
             f"got {len(data)} bytes, expected at most {MAX_MESSAGE_BYTES}"
         )
-    message = _decode(data.removeprefix(MARK), QuarantineMessage, whole="message")
+    message = _decode(
+        data.removeprefix(QUARANTINE_PREFIX), QuarantineMessage, whole="message"
+    )
     if isinstance(message, UnreadableQuarantine):
         return message
     return _validated(message, message.records)
 
 
 def _validated(
-    decoded: _DecodedT, records: tuple[ToldRecord, ...]
+    decoded: _DecodedT, records: tuple[SentRecord, ...]
 ) -> _DecodedT | UnreadableQuarantine:
     """Return ``decoded`` if each of its records is valid."""
     fault = next((f for f in map(_record_fault, records) if f), "")
     return UnreadableQuarantine(fault) if fault else decoded
 
 
-def _record_fault(record: ToldRecord) -> str:
+def _record_fault(record: SentRecord) -> str:
     """What is wrong with a received record; empty if it is valid."""
     names = [record.fingerprint, *(strike.endpoint for strike in record.strikes)]
     longest = max(map(len, names))
--- a/src/coursekeel/quarantine/_quarantine.py
+++ b/src/coursekeel/quarantine/_quarantine.py
@@ -121,7 +121,7 @@
 
     # Updates.
 
-    def strike(
+    def add_strike(
         self, fingerprint: str, endpoint_id: str, sign: Sign, now_ms: float
     ) -> SuspectRecord | None:
         """Record that an endpoint crashed while it had the request.
@@ -129,10 +129,10 @@
         Returns the new record, or None if nothing changed.
         """
         record = self._records.get(fingerprint) or SuspectRecord(fingerprint)
-        struck = record.struck(Strike.of(endpoint_id, sign, now_ms))
+        struck = record.with_strike(Strike.of(endpoint_id, sign, now_ms))
         return struck if self._update(struck, now_ms) else None
 
-    def proved_sound(self, fingerprint: str, now_ms: float) -> SuspectRecord | None:
+    def clear(self, fingerprint: str, now_ms: float) -> SuspectRecord | None:
         """Clear a request that ran without crashing its endpoint.
 
         Returns the new record, or None if the request wasn't suspect.
--- a/src/coursekeel/quarantine/_record.py
+++ b/src/coursekeel/quarantine/_record.py
@@ -74,7 +74,7 @@
         strikes = tuple((x.endpoint_id, x.sign.value) for x in self.strikes)
         return (self.fingerprint, self.epoch, self.trials, strikes)
 
-    def struck(self, strike: Strike) -> "SuspectRecord":
+    def with_strike(self, strike: Strike) -> "SuspectRecord":
         """A copy with one strike more."""
         return evolve(self, strikes=_merge_strikes(self.strikes, (strike,)))
 
--- a/src/coursekeel/routing/_known_endpoints.py
+++ b/src/coursekeel/routing/_endpoint_selector.py
@@ -15,11 +15,11 @@
 from coursekeel.routing._score import affinity, choose, preferred
 from coursekeel.routing._zones import FailingZones
 
-__all__ = ["KnownEndpoints"]
+__all__ = ["EndpointSelector"]
 
 
 @define(eq=False)
-class KnownEndpoints:
+class EndpointSelector:
     """A core: the caller passes the time, in ms.
 
     ``zone`` is this instance's own. ``may_take(endpoint_id, now_ms)`` returns whether
@@ -92,7 +92,9 @@
             eligible = free
         return choose(eligible, request, self.zone, self.random) if eligible else None
 
-    def to_ask(self, request: PlacementRequest, now_ms: float, count: int) -> list[str]:
+    def choose_to_query(
+        self, request: PlacementRequest, now_ms: float, count: int
+    ) -> list[str]:
         """Up to ``count`` endpoints whose load to query before placing the request.
 
         The prompt's preferred endpoint and some at random, the first of them in another
@@ -102,7 +104,9 @@
         if len(usable) <= count:
             return [load.endpoint_id for load in usable]
         kept = [
-            endpoint for endpoint in usable if endpoint.endpoint_id in request.kept_at
+            endpoint
+            for endpoint in usable
+            if endpoint.endpoint_id in request.prompt_cached_at
         ]
         own = kept[0] if kept else preferred(usable, request.prompt_key)
         others = [load for load in usable if load is not own]
@@ -112,7 +116,7 @@
         self.random.shuffle(rest)
         return [load.endpoint_id for load in [own, *far, *rest[: count - 2]]]
 
-    def may_keep(
+    def likely_caches(
         self, request: PlacementRequest, now_ms: float, count: int
     ) -> list[str]:
         """Up to ``count`` endpoints to query whether they have the prompt cached."""
@@ -122,7 +126,7 @@
         )
         return [load.endpoint_id for load in ranked[:count]]
 
-    def for_copy(
+    def choose_for_copy(
         self, request: PlacementRequest, endpoint_id: str, now_ms: float
     ) -> str:
         """The endpoint to keep a copy of the run at ``endpoint_id``; empty if none.
@@ -139,7 +143,7 @@
         candidates = far or usable
         if not candidates:
             return ""
-        asked = [load for load in candidates if load.endpoint_id in request.asked]
+        asked = [load for load in candidates if load.endpoint_id in request.queried]
         without_prompt = evolve(request, prompt_key="")
         # The copy is sent by the run's endpoint, so this instance's zone doesn't count.
         best = choose(asked or candidates, without_prompt, "", self.random)
--- a/src/coursekeel/routing/_load.py
+++ b/src/coursekeel/routing/_load.py
@@ -48,14 +48,14 @@
 
     def reported(self, report: LoadReport) -> None:
         """Store a report and reset the counts; an older report is ignored."""
-        if self.report is not None and report.asked_ms < self.report.asked_ms:
+        if self.report is not None and report.queried_ms < self.report.queried_ms:
             return
         self.report = report
         self.sent_since_report = 0
         self.prompt_tokens_since_report = 0
-        asked_ms = report.asked_ms
+        queried_ms = report.queried_ms
         self.limit.reported(
-            report.slots, report.queued, asked_ms, _QUEUE_SHRINK_INTERVAL_MS
+            report.slots, report.queued, queried_ms, _QUEUE_SHRINK_INTERVAL_MS
         )
 
     def sent(self, prompt_key: str, prompt_tokens: int = 0) -> None:
@@ -80,7 +80,7 @@
         self.sent_since_report -= 1
         self.usual_run_ms += _NEWEST_WEIGHT * (run_ms - self.usual_run_ms)
 
-    def returned(self, prompt_tokens: int = 0) -> None:
+    def return_unused(self, prompt_tokens: int = 0) -> None:
         """Undo `sent` for a granted place to which nothing was sent."""
         self.limit.ended()
         self.sent_since_report -= 1
--- a/src/coursekeel/routing/_messages.py
+++ b/src/coursekeel/routing/_messages.py
@@ -18,11 +18,11 @@
     | continuing | has tokens already; placed before new requests |
     | prompt_key | hash of the prompt, salted by team, for prefix affinity |
     | excluded | endpoints to avoid |
-    | asked | endpoints whose load was just queried; preferred while one has room |
+    | queried | endpoints whose load was just queried; preferred while one has room |
     | avoided_zones | zones where an endpoint was lost under this request |
     | caller_resumes | the caller holds a part of the answer, so that some endpoint has
       the prompt cached |
-    | kept_at | endpoints that confirmed that they have the prompt cached |
+    | prompt_cached_at | endpoints that confirmed that they have the prompt cached |
     """
 
     team: str
@@ -38,26 +38,26 @@
     prompt_tokens: int = 0
     prompt_key: str = ""
     excluded: frozenset[str] = field(factory=frozenset)
-    asked: frozenset[str] = field(factory=frozenset)
+    queried: frozenset[str] = field(factory=frozenset)
     avoided_zones: frozenset[str] = field(factory=frozenset)
     caller_resumes: bool = False
-    kept_at: frozenset[str] = field(factory=frozenset)
+    prompt_cached_at: frozenset[str] = field(factory=frozenset)
 
 
 @frozen
 class LoadReport:
-    """An endpoint's own load report, as of ``asked_ms``.
+    """An endpoint's own load report, as of ``queried_ms``.
 
-    ``unread_runs`` is the number of requests there that are queued or in prefill,
-    ``free_tokens`` the free cache memory in tokens; None if not reported.
+    ``prefill_pending_runs`` is the number of requests there that are queued or in
+    prefill, ``free_tokens`` the free cache memory in tokens; None if not reported.
     """
 
     endpoint_id: str
     running: int
     queued: int
     slots: int
-    asked_ms: float
-    unread_runs: int | None = None
+    queried_ms: float
+    prefill_pending_runs: int | None = None
     free_tokens: int | None = None
 
 
--- a/src/coursekeel/routing/_router.py
+++ b/src/coursekeel/routing/_router.py
@@ -1,8 +1,8 @@
 """Placement: which request goes to which endpoint, which waits, which is refused.
 
-Owns the waiting requests. Relies on `KnownEndpoints` for the choice of an endpoint, and
-on `AdmissionControl` for refusals. A core: no sockets, and the caller passes the time,
-in ms.
+Owns the waiting requests. Relies on `EndpointSelector` for the choice of an endpoint,
+and on `AdmissionControl` for refusals. A core: no sockets, and the caller passes the
+time, in ms.
 """
 
 from collections.abc import Callable
@@ -11,8 +11,8 @@
 from attrs import define, evolve, field, frozen
 
 from coursekeel.routing._budget import RetryBudget
+from coursekeel.routing._endpoint_selector import EndpointSelector
 from coursekeel.routing._forecast import AdmissionControl, RefusalLimits
-from coursekeel.routing._known_endpoints import KnownEndpoints
 from coursekeel.routing._load import EndpointLoad
 from coursekeel.routing._messages import Decision, Grant, LoadReport, PlacementRequest
 from coursekeel.routing._queue import FairQueue
@@ -61,7 +61,7 @@
     random: Random
     may_take: Callable[[str, float], bool]
     settings: RouterSettings = field(factory=RouterSettings)
-    endpoints: KnownEndpoints = field(init=False)
+    endpoints: EndpointSelector = field(init=False)
     _admission: AdmissionControl = field(init=False)
     _queues: dict[tuple[int, str, str], FairQueue] = field(factory=dict)
     _continuing: dict[int, _Continuing] = field(factory=dict)
@@ -70,7 +70,7 @@
 
     def __attrs_post_init__(self) -> None:
         settings = self.settings
-        self.endpoints = KnownEndpoints(self.zone, self.random, self.may_take)
+        self.endpoints = EndpointSelector(self.zone, self.random, self.may_take)
         self._admission = AdmissionControl(
             self.random,
             RefusalLimits(
@@ -129,7 +129,7 @@
             if queue.remove(number) is not None:
                 return
 
-    def move(self, pool: str, to: str) -> None:
+    def move_queued(self, pool: str, to: str) -> None:
         """Move the queued requests of a removed pool to another one."""
         for key in [queue_key for queue_key in self._queues if queue_key[2] == pool]:
             for request in self._queues.pop(key).requests():
@@ -149,14 +149,14 @@
 
     # Events at endpoints.
 
-    def reported(self, report: LoadReport, now_ms: float) -> list[Decision]:
+    def apply_report(self, report: LoadReport, now_ms: float) -> list[Decision]:
         """Apply an endpoint's load report."""
         load = self.load(report.endpoint_id)
         if load is not None:
             load.reported(report)
         return self.review(now_ms)
 
-    def succeeded(self, endpoint_id: str, request_class: str) -> None:
+    def record_success(self, endpoint_id: str, request_class: str) -> None:
         """Record a run's first token, or a call's whole answer.
 
         The latency doesn't affect the limit: when this process is short of CPU, every
@@ -167,19 +167,19 @@
             load.limit.succeeded()
         self._budget(request_class).succeeded()
 
-    def sent_to_copy(self, endpoint_id: str) -> None:
+    def count_run_at_copy(self, endpoint_id: str) -> None:
         """Count a run that goes to the endpoint with its copy, without a grant."""
         load = self.load(endpoint_id)
         if load is not None:
             load.sent("")
 
-    def turned_away(self, endpoint_id: str, now_ms: float) -> None:
+    def record_refusal(self, endpoint_id: str, now_ms: float) -> None:
         """Record that the endpoint refused a run for lack of room."""
         load = self.load(endpoint_id)
         if load is not None:
             load.limit.refused(now_ms, self.settings.refusal_hold_ms)
 
-    def released(
+    def release(
         self, endpoint_id: str, run_ms: float, now_ms: float, failed: bool = False
     ) -> list[Decision]:
         """Free a granted place after a run; ``failed`` if the endpoint failed it."""
@@ -188,13 +188,13 @@
             load.ended(run_ms, failed)
         return self.review(now_ms)
 
-    def returned(
+    def return_unused(
         self, endpoint_id: str, prompt_tokens: int, now_ms: float
     ) -> list[Decision]:
         """Free a granted place to which nothing was sent."""
         load = self.load(endpoint_id)
         if load is not None:
-            load.returned(prompt_tokens)
+            load.return_unused(prompt_tokens)
         return self.review(now_ms)
 
     # Continuing requests: most tokens first, limited by the class's retry budget.
--- a/src/coursekeel/routing/_score.py
+++ b/src/coursekeel/routing/_score.py
@@ -110,7 +110,7 @@
 
 def _own_prefill_tokens(load: EndpointLoad, request: PlacementRequest) -> int:
     """The request's tokens that need prefill: fewer if its prompt is cached there."""
-    kept = load.endpoint_id in request.kept_at
+    kept = load.endpoint_id in request.prompt_cached_at
     if kept or load.has_cached(request.prompt_key):
         return request.held_tokens
     return request.held_tokens + request.prompt_tokens
@@ -121,10 +121,10 @@
 
     The report doesn't give the lengths of other prompts; each counts like this one's.
     """
-    if load.report is None or load.report.unread_runs is None:
+    if load.report is None or load.report.prefill_pending_runs is None:
         return 0
     return (
-        load.report.unread_runs * request.prompt_tokens
+        load.report.prefill_pending_runs * request.prompt_tokens
         + load.prompt_tokens_since_report
     )
 
@@ -164,7 +164,7 @@
 
     ``zone`` is that of the sender.
     """
-    asked = [load for load in loads if load.endpoint_id in request.asked]
+    asked = [load for load in loads if load.endpoint_id in request.queried]
     if asked:
         return _best_of_queried(asked, request, zone)
     failing = any(load.failing > _FAILING_SHARE for load in loads)
@@ -201,7 +201,7 @@
     asked: list[EndpointLoad], request: PlacementRequest
 ) -> EndpointLoad | None:
     """The prompt's preferred endpoint; None if it is known which have it cached."""
-    if request.kept_at or not request.prompt_key:
+    if request.prompt_cached_at or not request.prompt_key:
         return None
     return preferred(asked, request.prompt_key)
 
--- a/src/coursekeel/runtime/_answer_driver.py
+++ b/src/coursekeel/runtime/_answer_driver.py
@@ -32,7 +32,7 @@
         """Carry out one action; events that it causes are queued."""
 
     @abstractmethod
-    def event_taken(self, event: Event, actions: list[Action]) -> None:
+    def event_handled(self, event: Event, actions: list[Action]) -> None:
         """Called after all actions that an event led to were carried out."""
 
 
@@ -46,7 +46,7 @@
 
     A stall of the stream isn't judged in three cases: the timer fired more than
     ``own_pause_ms`` late, since this process was paused and has unread data;
-    ``reading_held``, since reading is paused; ``silence_counts`` returns false. In the
+    ``reading_held``, since reading is paused; ``stall_is_loss`` returns false. In the
     first and the last case the request's patience is still checked.
     """
 
@@ -56,12 +56,12 @@
     clock: Clock
     own_pause_ms: float
     reading_held: bool = False
-    silence_counts: Callable[[], bool] = _always
+    stall_is_loss: Callable[[], bool] = _always
     _events: deque[Event] = field(factory=deque)
     _is_handling: bool = False
     _alarm: Any = None
 
-    def tell(self, event: Event, now_ms: float | None = None) -> None:
+    def handle_event(self, event: Event, now_ms: float | None = None) -> None:
         """Handle an event; during the handling of another one it is queued.
 
         ``now_ms`` is the event's time if the caller has just read the clock.
@@ -85,7 +85,7 @@
                 self._set_alarm(action.at_ms)
             else:
                 self.shell.carry_out(action, now_ms)
-        self.shell.event_taken(event, actions)
+        self.shell.event_handled(event, actions)
 
     def stop_alarm(self) -> None:
         """Cancel the timer."""
@@ -111,8 +111,8 @@
         if self.reading_held:
             self._set_alarm(now_ms + _PAUSED_CHECK_INTERVAL_MS)
         elif now_ms - due_ms > self.own_pause_ms:
-            self.tell(ReadingResumed())
+            self.handle_event(ReadingResumed())
         else:
-            if not self.silence_counts():
-                self.tell(ReadingResumed())
-            self.tell(Tick())
+            if not self.stall_is_loss():
+                self.handle_event(ReadingResumed())
+            self.handle_event(Tick())
--- a/src/coursekeel/runtime/_routing_task.py
+++ b/src/coursekeel/runtime/_routing_task.py
@@ -51,19 +51,19 @@
         if self._callbacks.pop(number, None) is not None:
             self.router.withdraw(number)
 
-    def released(self, endpoint_id: str, run_ms: float, failed: bool = False) -> None:
+    def release(self, endpoint_id: str, run_ms: float, failed: bool = False) -> None:
         """Free a granted place after a run of ``run_ms``, which may have ``failed``."""
         now_ms = self.clock.now_ms()
-        self._deliver(self.router.released(endpoint_id, run_ms, now_ms, failed))
+        self._deliver(self.router.release(endpoint_id, run_ms, now_ms, failed))
 
-    def returned(self, endpoint_id: str, prompt_tokens: int) -> None:
+    def return_unused(self, endpoint_id: str, prompt_tokens: int) -> None:
         """Free a granted place to which nothing was sent."""
         now_ms = self.clock.now_ms()
-        self._deliver(self.router.returned(endpoint_id, prompt_tokens, now_ms))
+        self._deliver(self.router.return_unused(endpoint_id, prompt_tokens, now_ms))
 
-    def reported(self, report: LoadReport) -> None:
+    def apply_report(self, report: LoadReport) -> None:
         """Apply an endpoint's load report."""
-        self._deliver(self.router.reported(report, self.clock.now_ms()))
+        self._deliver(self.router.apply_report(report, self.clock.now_ms()))
 
     def review(self) -> None:
         """Review waiting requests, for example after the endpoints have changed."""
--- a/src/coursekeel/settings/__init__.py
+++ b/src/coursekeel/settings/__init__.py
@@ -1,11 +1,11 @@
 """Settings of gateways and entries, read from JSON with comments and validated."""
 
 from coursekeel.settings._gateway import (
-    CanaryShare,
+    CanarySettings,
     GatewayListen,
     GatewaySettings,
     GatewayTimers,
-    RetryShare,
+    RetryBudgetSettings,
 )
 from coursekeel.settings._load import (
     check_settings,
@@ -27,7 +27,7 @@
 
 __all__ = [
     "PROFILES",
-    "CanaryShare",
+    "CanarySettings",
     "EntrySettings",
     "GatewayListen",
     "GatewaySettings",
@@ -36,7 +36,7 @@
     "ListenSettings",
     "OperatorKey",
     "PlatformSettings",
-    "RetryShare",
+    "RetryBudgetSettings",
     "Timers",
     "check_settings",
     "load_gateway_settings",
--- a/src/coursekeel/settings/_gateway.py
+++ b/src/coursekeel/settings/_gateway.py
@@ -8,11 +8,11 @@
 from coursekeel.units import MS_PER_SECOND
 
 __all__ = [
-    "CanaryShare",
+    "CanarySettings",
     "GatewayListen",
     "GatewaySettings",
     "GatewayTimers",
-    "RetryShare",
+    "RetryBudgetSettings",
 ]
 
 
@@ -137,7 +137,7 @@
         return min(self.endpoints_hold_ms, _SHARED_SHARE * self.drain_ms)
 
     @property
-    def configuration_peace_ms(self) -> float:
+    def usual_configuration_age_ms(self) -> float:
         """The greatest age of a shared confirmation while the store responds.
 
         It is the confirmation of the configuration at the instance that queries the
@@ -146,7 +146,7 @@
         return self.shared_configuration_hold_ms + _LATE_SHARE * self.configuration_ms
 
     @property
-    def endpoints_peace_ms(self) -> float:
+    def usual_endpoints_age_ms(self) -> float:
         """The same for the endpoint list, whose changes gather between requests."""
         interval_ms = self.endpoints_gathering_ms + self.shared_endpoints_hold_ms
         return interval_ms + _LATE_SHARE * self.drain_ms
@@ -173,7 +173,7 @@
 
 
 @frozen
-class RetryShare:
+class RetryBudgetSettings:
     """The retry budget of a pool: retries in ``window_s`` over all instances.
 
     It is the share ``ratio`` of the pool's requests, plus ``slack`` retries.
@@ -185,7 +185,7 @@
 
 
 @frozen
-class CanaryShare:
+class CanarySettings:
     """The requests that a canary version may get, over all instances.
 
     They are the share ``share`` of its pool's requests, plus ``slack`` requests. No
@@ -210,8 +210,8 @@
     listen: GatewayListen
     store: str
     timers: GatewayTimers = field(factory=GatewayTimers)
-    retries: RetryShare = field(factory=RetryShare)
-    canary: CanaryShare = field(factory=CanaryShare)
+    retries: RetryBudgetSettings = field(factory=RetryBudgetSettings)
+    canary: CanarySettings = field(factory=CanarySettings)
     max_open_requests: int = field(default=1_000, metadata={"least": 1})
     log_level: str = "INFO"
     seed: int | None = None
--- a/src/coursekeel/settings/_load.py
+++ b/src/coursekeel/settings/_load.py
@@ -13,11 +13,11 @@
 
 from coursekeel.errors import SettingsInvalid
 from coursekeel.settings._gateway import (
-    CanaryShare,
+    CanarySettings,
     GatewayListen,
     GatewaySettings,
     GatewayTimers,
-    RetryShare,
+    RetryBudgetSettings,
 )
 from coursekeel.settings._model import (
     PROFILES,
@@ -57,8 +57,8 @@
     GatewaySettings: (
         GatewayListen,
         GatewayTimers,
-        RetryShare,
-        CanaryShare,
+        RetryBudgetSettings,
+        CanarySettings,
         GatewaySettings,
     ),
 }
--- a/src/coursekeel/storage/_http.py
+++ b/src/coursekeel/storage/_http.py
@@ -34,7 +34,7 @@
 
 # Limits of an object's transfer once it has begun: a prompt of 4 MiB takes 7 s at
 # 5 Mbit/s, longer than the timeout of a call.
-_OBJECT_TRANSFER = Transfer(pause_ms=1_000, most_ms=20_000, most_bytes=64 << 20)
+_OBJECT_TRANSFER = Transfer(pause_ms=1_000, max_ms=20_000, most_bytes=64 << 20)
 
 
 @mutable
--- a/src/coursekeel/suspects/__init__.py
+++ b/src/coursekeel/suspects/__init__.py
@@ -1,17 +1,21 @@
 """What entry and gateway share to check, record and store suspect requests."""
 
 from coursekeel.suspects._fingerprint import request_fingerprint
-from coursekeel.suspects._gate import AskedRequest, QuarantineGate, QuarantinePass
+from coursekeel.suspects._gate import (
+    FingerprintedRequest,
+    QuarantineGate,
+    QuarantinePass,
+)
 from coursekeel.suspects._keeper import SuspectKeeper
 from coursekeel.suspects._lost_runs import LostRuns, Suspect, sign_of
-from coursekeel.suspects._table import KeptRows, SuspectTable, TableFailed
+from coursekeel.suspects._table import StoredRows, SuspectTable, TableFailed
 
 __all__ = [
-    "AskedRequest",
-    "KeptRows",
+    "FingerprintedRequest",
     "LostRuns",
     "QuarantineGate",
     "QuarantinePass",
+    "StoredRows",
     "Suspect",
     "SuspectKeeper",
     "SuspectTable",
--- a/src/coursekeel/suspects/_gate.py
+++ b/src/coursekeel/suspects/_gate.py
@@ -22,10 +22,10 @@
 from coursekeel.runtime import Clock
 from coursekeel.suspects._lost_runs import Suspect
 
-__all__ = ["AskedRequest", "QuarantineGate", "QuarantinePass"]
+__all__ = ["FingerprintedRequest", "QuarantineGate", "QuarantinePass"]
 
 
-class AskedRequest(Protocol):
+class FingerprintedRequest(Protocol):
     """A request that may be suspect."""
 
     @property
@@ -46,12 +46,12 @@
     broadcast: Callable[[list[SuspectRecord]], None]
     on_change: Callable[[str], None]
 
-    def barred_ms(self, call: AskedRequest) -> float:
+    def barred_ms(self, call: FingerprintedRequest) -> float:
         """For how long a request may not be sent; 0 if it may be."""
         verdict = self._verdict(call)
         return verdict.remaining_ms if isinstance(verdict, Barred) else 0.0
 
-    def begin_trial(self, call: AskedRequest) -> SuspectRecord | None:
+    def begin_trial(self, call: FingerprintedRequest) -> SuspectRecord | None:
         """Begin a trial of a request whose bar is over; None if it needs none."""
         if not isinstance(self._verdict(call), Trial):
             return None
@@ -60,21 +60,21 @@
         self._publish([trial_record])
         return trial_record
 
-    def struck(self, endpoint_id: str, suspects: Iterable[Suspect]) -> None:
+    def report_crash(self, endpoint_id: str, suspects: Iterable[Suspect]) -> None:
         """Record that an endpoint crashed while it had these requests."""
         records = [
-            self.quarantine.strike(
+            self.quarantine.add_strike(
                 suspect.fingerprint, endpoint_id, suspect.sign, suspect.lost_ms
             )
             for suspect in suspects
         ]
         self._publish(records)
 
-    def proved_sound(self, call: AskedRequest) -> None:
+    def report_success(self, call: FingerprintedRequest) -> None:
         """Clear a request that ran without crashing its endpoint."""
         if len(self.quarantine):
             now_ms = self.clock.now_ms()
-            self._publish([self.quarantine.proved_sound(call.fingerprint, now_ms)])
+            self._publish([self.quarantine.clear(call.fingerprint, now_ms)])
 
     def _publish(self, records: list[SuspectRecord | None]) -> None:
         """Report changed records; None stands for an update that changed nothing."""
@@ -84,7 +84,7 @@
         if changed:
             self.broadcast(changed)
 
-    def _verdict(self, call: AskedRequest) -> Barred | Trial | None:
+    def _verdict(self, call: FingerprintedRequest) -> Barred | Trial | None:
         """The verdict; the fingerprint is computed only while a request is barred."""
         if not self.quarantine.barred:
             return None
@@ -96,7 +96,7 @@
     """One request's permission to be sent, checked again before each send."""
 
     gate: QuarantineGate
-    call: AskedRequest
+    call: FingerprintedRequest
     _trial_record: SuspectRecord | None = None
 
     def may_send(self) -> bool:
--- a/src/coursekeel/suspects/_keeper.py
+++ b/src/coursekeel/suspects/_keeper.py
@@ -16,14 +16,14 @@
 
 from coursekeel.observe import log_event
 from coursekeel.quarantine import (
-    KeptSuspect,
     Quarantine,
     QuarantineEvent,
+    StoredSuspect,
     UnreadableQuarantine,
-    decode_kept,
-    encode_kept,
+    decode_stored,
+    encode_stored,
     record_of,
-    told_of,
+    to_sent_record,
 )
 from coursekeel.reactor import Reactor
 from coursekeel.runtime import Clock, Periodic
@@ -66,15 +66,15 @@
         """Make no more calls to the store."""
         self._work.stop()
 
-    def store_restored(self, is_mine: Callable[[str], bool]) -> None:
+    def store_restored(self, is_assigned: Callable[[str], bool]) -> None:
         """Write rows again after the store was restored from an older copy.
 
-        ``is_mine`` says whether this member is the one chosen for a fingerprint. The
-        table is read again first, for its rows and for its clock.
+        ``is_assigned`` says whether this member is the one chosen for a fingerprint.
+        The table is read again first, for its rows and for its clock.
         """
         self._store_clock_offset_ms = None
         barred = self.quarantine.barred_fingerprints()
-        rewritten = [f for f in barred if f in self._changed_here or is_mine(f)]
+        rewritten = [f for f in barred if f in self._changed_here or is_assigned(f)]
         log_event("suspects_written_again", rows=len(rewritten))
         self._pending |= dict.fromkeys(rewritten)
         self._work.start()
@@ -116,7 +116,7 @@
 
     def _load_row(self, fingerprint: str, value: bytes, now_ms: float) -> None:
         """Merge a row; one that is invalid or bars nothing is to be removed."""
-        kept = decode_kept(value)
+        kept = decode_stored(value)
         if isinstance(kept, UnreadableQuarantine):
             log_event("suspect_unreadable", fingerprint=fingerprint, fault=kept.fault)
             self._pending[fingerprint] = None
@@ -148,4 +148,4 @@
         record = self.quarantine.record(fingerprint)
         assert record is not None and self._store_clock_offset_ms is not None
         stored_ms = round(now_ms + self._store_clock_offset_ms, 1)
-        return encode_kept(KeptSuspect(told_of(record, now_ms), stored_ms))
+        return encode_stored(StoredSuspect(to_sent_record(record, now_ms), stored_ms))
--- a/src/coursekeel/suspects/_lost_runs.py
+++ b/src/coursekeel/suspects/_lost_runs.py
@@ -25,14 +25,14 @@
     lost_ms: float
 
 
-def sign_of(ran_ms: float | None, gave_ms: float | None) -> Sign | None:
+def sign_of(ran_ms: float | None, streamed_ms: float | None) -> Sign | None:
     """The sign of a lost run; None if it can't have crashed its endpoint.
 
-    ``ran_ms`` is the time since its response head arrived, ``gave_ms`` that since its
-    first output; None if nothing arrived.
+    ``ran_ms`` is the time since its response head arrived, ``streamed_ms`` that since
+    its first output; None if nothing arrived.
     """
-    if gave_ms is not None:
-        return Sign.GAVE if gave_ms <= _MAX_SUSPECT_OUTPUT_MS else None
+    if streamed_ms is not None:
+        return Sign.GAVE if streamed_ms <= _MAX_SUSPECT_OUTPUT_MS else None
     return Sign.UNSEEN if ran_ms is None else Sign.BEGAN
 
 
@@ -49,6 +49,6 @@
         suspects.setdefault(suspect.fingerprint, suspect)
         return is_first
 
-    def taken(self, endpoint_id: str) -> list[Suspect]:
+    def pop(self, endpoint_id: str) -> list[Suspect]:
         """Remove and return an endpoint's suspects, when the probe has ended."""
         return list(self._by_endpoint.pop(endpoint_id).values())
--- a/src/coursekeel/suspects/_table.py
+++ b/src/coursekeel/suspects/_table.py
@@ -8,11 +8,11 @@
 
 from attrs import frozen
 
-__all__ = ["KeptRows", "SuspectTable", "TableFailed"]
+__all__ = ["StoredRows", "SuspectTable", "TableFailed"]
 
 
 @frozen
-class KeptRows:
+class StoredRows:
     """All rows by fingerprint, and the time of the read by the store's clock."""
 
     values: Mapping[str, bytes]
@@ -30,7 +30,7 @@
     """The rows of barred requests, by fingerprint."""
 
     @abstractmethod
-    async def read(self, timeout_ms: float) -> KeptRows | TableFailed:
+    async def read(self, timeout_ms: float) -> StoredRows | TableFailed:
         """Read all rows."""
 
     @abstractmethod
--- a/tests/common/answer_world.py
+++ b/tests/common/answer_world.py
@@ -15,17 +15,17 @@
     CancelAttempt,
     Complete,
     Deliver,
-    EndpointSilent,
-    Expected,
+    EndpointGranted,
+    EndpointStalled,
+    ExpectedModel,
     FinishArrived,
-    Granted,
     HeadArrived,
     Interrupt,
     Ledger,
     Loss,
     OpenAttempt,
     ReadingResumed,
-    SeekEndpoint,
+    RequestEndpoint,
     SetAlarm,
     Started,
     StreamHead,
@@ -36,7 +36,7 @@
 from standins._tokens import SALTS, Chain, first_foreign_token, prompt_digest, text_of
 
 REQUEST = {"prompt": "a dossier", "seed": 3}
-EXPECTED = Expected("dossier", "", "1")
+EXPECTED = ExpectedModel("dossier", "", "1")
 POLICY = AnswerPolicy(patience_ms=5_000, first_token_ms=1_000, silence_ms=500)
 
 
@@ -87,7 +87,7 @@
         )
         ledger = Ledger("g-1")
         self.core = core_class("team/r/g-1", EXPECTED, policy, ledger)
-        self.seeking: SeekEndpoint | None = None
+        self.seeking: RequestEndpoint | None = None
         self.streams: dict[int, Stream] = {}
         self.runs: dict[str, Run] = {}
         self.crashed: set[str] = set()
@@ -106,7 +106,7 @@
 
     def _carry_out(self, action) -> None:
         match action:
-            case SeekEndpoint():
+            case RequestEndpoint():
                 self.seeking = action
             case OpenAttempt():
                 self._open(action)
@@ -161,7 +161,7 @@
         if self.seeking is not None:
             self.seeking = None
             self.crashed.discard(endpoint)
-            self.handle(Granted(endpoint))
+            self.handle(EndpointGranted(endpoint))
 
     def open_stream(self, attempt: int, wrong: str = "") -> None:
         stream = self.streams[attempt]
@@ -247,7 +247,7 @@
                 self.lose_attempt(attempt, Loss.CUT)
 
     def stall(self, endpoint: str) -> None:
-        self.handle(EndpointSilent(endpoint))
+        self.handle(EndpointStalled(endpoint))
 
     def pause_process(self, ms: float) -> None:
         self.now_ms += ms
--- a/tests/common/engine_fleet.py
+++ b/tests/common/engine_fleet.py
@@ -69,12 +69,12 @@
 
 
 class Fleet:
-    """Instances and engines; an instance queries ``asked`` engines per stream."""
+    """Instances and engines; an instance queries ``queried`` engines per stream."""
 
-    def __init__(self, instances: int, engines: int, asked: int, seed: int) -> None:
+    def __init__(self, instances: int, engines: int, queried: int, seed: int) -> None:
         self.random = Random(seed)
         self.now_ms = 0.0
-        self.asked = asked
+        self.queried = queried
         self.engines = {f"e{n}": Engine(f"e{n}") for n in range(engines)}
         zones = {name: f"z{n % ZONES}" for n, name in enumerate(self.engines)}
         self.routers = [self._router(n, zones) for n in range(instances)]
@@ -100,7 +100,7 @@
                 for run in engine.step(self.now_ms):
                     took_ms = self.now_ms - run.arrived_ms
                     router = self.routers[run.instance]
-                    router.released(name, took_ms, self.now_ms)
+                    router.release(name, took_ms, self.now_ms)
 
     def _arrive(self, prompt_tokens: int) -> None:
         number = self.random.randrange(len(self.routers))
@@ -117,10 +117,10 @@
             prompt_key=f"p{self._numbers}",
             number=self._numbers,
         )
-        names = router.endpoints.to_ask(request, self.now_ms, self.asked)
+        names = router.endpoints.choose_to_query(request, self.now_ms, self.queried)
         for name in names:
-            router.reported(self.engines[name].report(self.now_ms), self.now_ms)
-        request = evolve(request, asked=frozenset(names))
+            router.apply_report(self.engines[name].report(self.now_ms), self.now_ms)
+        request = evolve(request, queried=frozenset(names))
         for decision in router.place(request, self.now_ms):
             if isinstance(decision, Grant):
                 run = Run(self.now_ms, number, float(prompt_tokens))
--- a/tests/common/examples.py
+++ b/tests/common/examples.py
@@ -11,7 +11,7 @@
     return settings(max_examples=count, stateful_step_count=steps)
 
 
-def until_broken(steps: int = 40) -> settings:
+def until_failure(steps: int = 40) -> settings:
     """Settings for a naive version: stop at the first failing schedule."""
     return settings(
         max_examples=2_000,
--- a/tests/common/fake_platform.py
+++ b/tests/common/fake_platform.py
@@ -58,7 +58,7 @@
         return Committed(versions)
 
     def step(self, index: int, how: str) -> None:
-        """Complete one pending operation with the outcome ``how``, one of `WAYS`."""
+        """Complete one pending operation; ``how`` is one of `OUTCOMES`."""
         operation = self.waiting.pop(index % len(self.waiting))
         operation.answer.callback(self._outcome(operation, how))
 
@@ -79,7 +79,7 @@
             return Unsure("effect late")
         return self.apply(transaction)
 
-    def late_effect(self) -> None:
+    def apply_delayed_write(self) -> None:
         """Apply the oldest delayed write, whose response was already lost."""
         if self.late:
             self.apply(self.late.pop(0))
@@ -120,4 +120,4 @@
         return InstanceList(())
 
 
-WAYS = ["well", "well", "unavailable", "answer_lost", "write_lost", "effect_late"]
+OUTCOMES = ["well", "well", "unavailable", "answer_lost", "write_lost", "effect_late"]
--- a/tests/common/group_world.py
+++ b/tests/common/group_world.py
@@ -1,8 +1,9 @@
 """Simulates instances that share one store's table, on one clock, without sockets.
 
-Each has its own `FollowTask`, `TableFeed`, `SharedSource` and `KnownSite`. The store
-may refuse some instances or respond to them late, instances may be partitioned from
-each other, and an instance may freeze: messages to it are delivered when it resumes.
+Each has its own `TableWatchTask`, `TableFeed`, `SharedSource` and `SiteState`. The
+store may refuse some instances or respond to them late, instances may be partitioned
+from each other, and an instance may freeze: messages to it are delivered when it
+resumes.
 """
 
 from random import Random
@@ -16,16 +17,16 @@
     ForwardingConfiguration,
     Freshness,
     StoreClock,
-    StoreMoment,
+    StorePosition,
     Team,
     key_digest,
 )
 from coursekeel.gateway._adapters import (
-    Reading,
     Source,
     SourceFailed,
     Table,
-    Versioned,
+    TableRead,
+    VersionedEntry,
 )
 from coursekeel.gateway._live_settings import LiveSettings
 from coursekeel.gateway.members._member_reader import (
@@ -34,14 +35,14 @@
     NothingNewer,
 )
 from coursekeel.gateway.members._reading_codec import (
-    RelayedReading,
-    decode_reading,
-    encode_reading,
+    RelayedTableRead,
+    decode_table_read,
+    encode_table_read,
 )
 from coursekeel.gateway.members._shared_source import SharedSource, SharingTerms
 from coursekeel.gateway.members._table_feed import TableFeed
-from coursekeel.gateway.site._follow_task import FollowedTable, FollowTask
-from coursekeel.gateway.site._known_site import KnownSite
+from coursekeel.gateway.site._follow_task import FollowedTable, TableWatchTask
+from coursekeel.gateway.site._site_state import SiteState
 from coursekeel.settings import GatewayListen, GatewaySettings
 
 SETTINGS = GatewaySettings("g", "z", GatewayListen("h:1"), "s:1")
@@ -81,8 +82,8 @@
         return self.reactor.seconds() * 1000
 
     @property
-    def moment(self) -> StoreMoment:
-        return StoreMoment(self.era, self.version)
+    def position(self) -> StorePosition:
+        return StorePosition(self.era, self.version)
 
     def run(self, for_ms: float) -> None:
         for _ in range(int(for_ms / STEP_MS)):
@@ -107,15 +108,15 @@
             return
         self.waiting.remove(waiter)
         if name not in self.refused:
-            self.send_store_response(name, deferred, self.reading(since))
+            self.send_store_response(name, deferred, self.table_read(since))
 
-    def reading(self, since: int | None) -> Reading:
+    def table_read(self, since: int | None) -> TableRead:
         teams = (Team("t", tuple(key_digest(each) for each in sorted(self.keys))),)
         entry = ForwardingConfiguration(self.version, teams=teams, keyed=True)
-        entries = (Versioned(entry, self.moment),)
-        if since == self.moment:
+        entries = (VersionedEntry(entry, self.position),)
+        if since == self.position:
             entries = ()
-        return Reading(entries, self.moment, self.now_ms, whole=since is None)
+        return TableRead(entries, self.position, self.now_ms, whole=since is None)
 
     def send_store_response(self, name: str, deferred: Deferred, value) -> None:
         """Send a store response made now, with the instance's extra delay."""
@@ -142,14 +143,14 @@
                 continue
             next_version = each.site.routes.configuration.version + 1
             if next_version in self.acknowledged_ms:
-                proven_ms = each.freshness.proven_ms(Table.CONFIGURATION.value)
-                excess_ms[name] = proven_ms - self.acknowledged_ms[next_version]
+                confirmed_ms = each.freshness.confirmed_ms(Table.CONFIGURATION.value)
+                excess_ms[name] = confirmed_ms - self.acknowledged_ms[next_version]
         return {name: by_ms for name, by_ms in excess_ms.items() if by_ms > 0}
 
     def send_response(self, name: str, deferred: Deferred, value) -> None:
         """Deliver a response to an instance; a frozen one gets it when it resumes."""
         wait_ms = self.random.uniform(0, 40)
-        if isinstance(value, Reading) and value.entries:
+        if isinstance(value, TableRead) and value.entries:
             self.call_later(wait_ms, setattr, deferred, "begun", True)
             wait_ms += self.transfer_ms
         self.call_later(wait_ms, self._deliver, name, deferred, value)
@@ -216,8 +217,8 @@
             if world.refuses_immediately:
                 world.send_response(self.name, deferred, SourceFailed("status 503"))
             return deferred
-        if since is None or since < world.moment or not hold_ms:
-            world.send_store_response(self.name, deferred, world.reading(since))
+        if since is None or since < world.position or not hold_ms:
+            world.send_store_response(self.name, deferred, world.table_read(since))
             return deferred
         waiter = (self.name, since, deferred)
         world.waiting.append(waiter)
@@ -275,15 +276,15 @@
         )
 
     def _respond(self, deferred: Deferred, answer) -> None:
-        if isinstance(answer, RelayedReading):
-            reply = decode_reading(encode_reading(answer))
+        if isinstance(answer, RelayedTableRead):
+            reply = decode_table_read(encode_table_read(answer))
             assert reply == answer
             reply = self.tampered(reply)
         else:
             reply = NothingNewer()
         self.world.send_response(self.name, deferred, reply)
 
-    def tampered(self, reply: RelayedReading) -> RelayedReading:
+    def tampered(self, reply: RelayedTableRead) -> RelayedTableRead:
         return reply
 
     def _time_out(self, deferred: Deferred) -> None:
@@ -302,7 +303,7 @@
         freshness = self.freshness = Freshness()
         self.feed = TableFeed(clock, clock)
         self.members = MembersClient(world, name)
-        self.site = KnownSite(
+        self.site = SiteState(
             clock,
             clock,
             LiveSettings(SETTINGS),
@@ -321,7 +322,7 @@
                 TIMERS.member_hold_ms,
                 TIMERS.member_slack_ms,
                 {Table.CONFIGURATION: TIMERS.shared_configuration_hold_ms},
-                {Table.CONFIGURATION: TIMERS.configuration_peace_ms},
+                {Table.CONFIGURATION: TIMERS.usual_configuration_age_ms},
             ),
             lambda _: self.feed.requested_recently(),
             lambda: self.feed.configuration_version,
@@ -333,7 +334,7 @@
             self.take,
             lambda _: None,
         )
-        self.task = FollowTask(
+        self.task = TableWatchTask(
             clock,
             clock,
             world.random,
@@ -345,8 +346,8 @@
             self.feed,
         )
 
-    def take(self, reading: Reading) -> None:
-        self.site.take_configuration(reading)
+    def take(self, table_read: TableRead) -> None:
+        self.site.apply_configuration(table_read)
         self.applied.append(self.site.routes.configuration.version)
 
     @property
@@ -380,10 +381,10 @@
     def zones(self):
         return sorted({self.world.instances[each].zone for each in self.alive()})
 
-    def holder(self, zone):
+    def store_reader(self, zone):
         return max(self.alive(zone), default="")
 
-    def freshest(self, _table):
+    def latest_confirmation(self, _table):
         ages = {each: self.world.instances[each].age_ms for each in self.alive()}
         best = min(ages, key=ages.get)
         return best, self.world.now_ms - ages[best]
--- a/tests/common/moments.py
+++ b/tests/common/moments.py
@@ -1,10 +1,10 @@
 """Short notation of store positions for tests."""
 
-from coursekeel.forwarding import StoreMoment
+from coursekeel.forwarding import StorePosition
 
-__all__ = ["at"]
+__all__ = ["position_at"]
 
 
-def at(version: int, era: int = 0) -> StoreMoment:
+def position_at(version: int, era: int = 0) -> StorePosition:
     """The store position of a version in an era."""
-    return StoreMoment(era, version)
+    return StorePosition(era, version)
--- a/tests/common/naive.py
+++ b/tests/common/naive.py
@@ -10,14 +10,14 @@
     CancelAttempt,
     Complete,
     Deliver,
+    EndpointGranted,
     FinishArrived,
-    Granted,
     Interrupt,
     Ledger,
     Loss,
     OpenAttempt,
+    RequestEndpoint,
     RunState,
-    SeekEndpoint,
     SetAlarm,
     Started,
     Tick,
@@ -49,8 +49,8 @@
             return []
         match event:
             case Started():
-                return [SeekEndpoint(frozenset(), False, 0), SetAlarm(now_ms + 1)]
-            case Granted():
+                return [RequestEndpoint(frozenset(), False, 0), SetAlarm(now_ms + 1)]
+            case EndpointGranted():
                 self.number += 1
                 self.skip = self.ledger.next_position
                 self.last_received_ms = now_ms
@@ -93,7 +93,7 @@
             self.state = "interrupted"
             return [Interrupt("tries", RunState.UNKNOWN, 0, 0)]
         self.state = "recovering"
-        return [SeekEndpoint(frozenset(), True, 0)]
+        return [RequestEndpoint(frozenset(), True, 0)]
 
 
 class NaiveCall:
--- a/tests/common/quarantine_world.py
+++ b/tests/common/quarantine_world.py
@@ -10,7 +10,7 @@
 
 from coursekeel.group import Swim, decode_message, encode_message
 from coursekeel.quarantine import (
-    MARK,
+    QUARANTINE_PREFIX,
     Quarantine,
     QuarantineGossip,
     Sign,
@@ -118,13 +118,13 @@
 
     def _receive(self, member: Member, sender: str, data: bytes) -> None:
         gossip = member.gossip
-        if data.startswith(MARK):
+        if data.startswith(QUARANTINE_PREFIX):
             outgoing = gossip.received(decode_quarantine(data), self.now_ms)
         else:
             message = decode_message(data)
             for reply in member.swim.received(message, self.now_ms):
                 self._send(member, reply.address, encode_message(reply.message))
-            outgoing = gossip.heard_digest(sender, message.suspects)
+            outgoing = gossip.receive_digest(sender, message.suspects)
         self._send_all(member, outgoing)
 
     def _send_all(self, member: Member, outgoing) -> None:
@@ -135,7 +135,7 @@
 
     def strike(self, number: int, fingerprint: str, endpoint: str) -> None:
         member = self.member(number)
-        record = member.quarantine.strike(
+        record = member.quarantine.add_strike(
             fingerprint, endpoint, Sign.BEGAN, self.now_ms
         )
         if record is not None:
@@ -149,7 +149,7 @@
 
     def prove_sound(self, number: int, fingerprint: str) -> None:
         member = self.member(number)
-        record = member.quarantine.proved_sound(fingerprint, self.now_ms)
+        record = member.quarantine.clear(fingerprint, self.now_ms)
         if record is not None:
             self._send_all(member, member.gossip.learned([record], self.now_ms))
 
--- a/tests/common/sites.py
+++ b/tests/common/sites.py
@@ -69,7 +69,7 @@
     return thread
 
 
-def until_holding(caller: Caller, tokens: int) -> None:
+def wait_for_tokens(caller: Caller, tokens: int) -> None:
     """Wait until the caller holds at least ``tokens`` tokens, or an error."""
     wait_until(lambda: len(caller.tokens) >= tokens or caller.error, "tokens come")
 
@@ -90,8 +90,8 @@
     """A stored request in progress at the first entry, and the thread that reads it."""
     caller = dossier(tokens)
     thread = reading(caller, site.entries["entry-1"].port)
-    until_stored(caller)
-    until_holding(caller, holding)
+    wait_until_stored(caller)
+    wait_for_tokens(caller, holding)
     return caller, thread
 
 
@@ -100,12 +100,12 @@
     assert caller.whole, (caller.error, caller.events, len(caller.tokens))
 
 
-def until_stored(caller: Caller) -> None:
+def wait_until_stored(caller: Caller) -> None:
     """Wait until the caller has received the `stored` event."""
     wait_until(lambda: "stored" in caller.events, "the request is stored")
 
 
-def comes_back(caller: Caller, port: int) -> Caller:
+def reconnect_until_finished(caller: Caller, port: int) -> Caller:
     """Reconnect until the answer is finished or refused."""
 
     def reconnect() -> bool:
@@ -121,7 +121,7 @@
     return dict(site.entries[name].get("/operator/status")["answers"])
 
 
-def twin_of(caller):
+def second_caller_of(caller):
     """Another caller of the same answer that holds the same tokens."""
     twin = dossier(caller.request["max_tokens"])
     twin.request, twin.request_id = caller.request, caller.request_id
--- a/tests/cover/test_answer_driver.py
+++ b/tests/cover/test_answer_driver.py
@@ -11,10 +11,10 @@
     AnswerCore,
     AnswerPolicy,
     Event,
-    Expected,
+    ExpectedModel,
     Interrupt,
     ReadingResumed,
-    SeekEndpoint,
+    RequestEndpoint,
     Started,
     Tick,
 )
@@ -32,7 +32,7 @@
         self.reactor = FakeReactor()
         clock = Mock(now_ms=lambda: self.reactor.seconds() * 1_000)
         policy = AnswerPolicy(patience_ms=PATIENCE_MS, first_token_ms=math.inf)
-        core = AnswerCore("t/r", Expected("p", "", ""), policy, EventLedger())
+        core = AnswerCore("t/r", ExpectedModel("p", "", ""), policy, EventLedger())
         self.driver = AnswerDriver(core, self, self.reactor, clock, OWN_PAUSE_MS)
         self.actions: list[Action] = []
         self.events: list[Event] = []
@@ -40,7 +40,7 @@
     def carry_out(self, action: Action, now_ms: float) -> None:
         self.actions.append(action)
 
-    def event_taken(self, event: Event, actions: list[Action]) -> None:
+    def event_handled(self, event: Event, actions: list[Action]) -> None:
         self.events.append(event)
         assert len(self.events) < 50, "the alarm rings for ever"
 
@@ -48,7 +48,7 @@
 @pytest.fixture
 def shell() -> Recorder:
     recorder = Recorder()
-    recorder.driver.tell(Started())
+    recorder.driver.handle_event(Started())
     return recorder
 
 
@@ -74,7 +74,7 @@
 
 
 def test_patience_ends_an_answer_while_silence_does_not_count(shell):
-    shell.driver.silence_counts = lambda: False
+    shell.driver.stall_is_loss = lambda: False
     shell.reactor.advance(PATIENCE_MS / 1_000)
     assert shell.events == [Started(), ReadingResumed(), Tick()]
     assert isinstance(shell.actions[-1], Interrupt)
@@ -85,13 +85,13 @@
     order: list[str] = []
 
     def carry_out(action: Action, now_ms: float) -> None:
-        if isinstance(action, SeekEndpoint):
-            shell.driver.tell(Tick())
+        if isinstance(action, RequestEndpoint):
+            shell.driver.handle_event(Tick())
             order.append("sought")
 
     shell.carry_out = carry_out
-    shell.event_taken = lambda event, actions: order.append(type(event).__name__)
-    shell.driver.tell(Started())
+    shell.event_handled = lambda event, actions: order.append(type(event).__name__)
+    shell.driver.handle_event(Started())
     assert order == ["sought", "Started", "Tick"]
 
 
--- a/tests/cover/test_answers_from_copies.py
+++ b/tests/cover/test_answers_from_copies.py
@@ -10,14 +10,14 @@
     AttemptEnded,
     CancelAttempt,
     CopyPlaced,
-    EndpointSilent,
-    Expected,
+    EndpointGranted,
+    EndpointStalled,
+    ExpectedModel,
     FinishArrived,
-    Granted,
     HeadArrived,
     Loss,
     OpenAttempt,
-    SeekEndpoint,
+    RequestEndpoint,
     SetAlarm,
     Started,
     StreamHead,
@@ -33,7 +33,7 @@
     silence_ms=300,
     races=False,
     deaths_before_stop=5,
-    own_stream_tries=0,
+    reread_tries=0,
 )
 
 
@@ -41,7 +41,7 @@
     """Drives one answer and keeps the actions that the last event returned."""
 
     def __init__(self, policy: AnswerPolicy = POLICY) -> None:
-        self.core = AnswerCore("r", Expected("p", "", ""), policy, EventLedger())
+        self.core = AnswerCore("r", ExpectedModel("p", "", ""), policy, EventLedger())
         self.now_ms = 0.0
         self.actions = self.core.handle(Started(), 0.0)
 
@@ -67,7 +67,7 @@
 
 def start_driver(copy: str = "b") -> Driver:
     driver = Driver()
-    driver.handle(Granted("a"))
+    driver.handle(EndpointGranted("a"))
     if copy:
         driver.handle(CopyPlaced(1, copy))
     return driver
@@ -79,7 +79,7 @@
     driver.handle(AttemptEnded(1, Loss.CUT))
     opened = driver.opened()
     assert (opened.endpoint_id, opened.way, opened.from_position) == ("b", Way.COPY, 5)
-    assert not any(isinstance(action, SeekEndpoint) for action in driver.actions)
+    assert not any(isinstance(action, RequestEndpoint) for action in driver.actions)
 
 
 def test_a_run_lost_during_prefill_resumes_from_its_copy():
@@ -91,7 +91,7 @@
 def test_a_stalled_run_is_cancelled_before_its_copy_continues():
     driver = start_driver()
     driver.stream(1, 5)
-    driver.handle(EndpointSilent("a"))
+    driver.handle(EndpointStalled("a"))
     kinds = [type(action) for action in driver.actions]
     assert kinds.index(CancelAttempt) < kinds.index(OpenAttempt)
 
@@ -101,7 +101,7 @@
     driver.stream(1, 5)
     driver.handle(AttemptEnded(1, Loss.CUT))
     assert driver.opened() is None
-    assert any(isinstance(action, SeekEndpoint) for action in driver.actions)
+    assert any(isinstance(action, RequestEndpoint) for action in driver.actions)
 
 
 def test_a_missing_copy_leads_to_a_new_prefill():
@@ -109,15 +109,15 @@
     driver.stream(1, 5)
     driver.handle(AttemptEnded(1, Loss.CUT))
     driver.handle(AttemptEnded(2, Loss.REFUSED))
-    assert any(isinstance(action, SeekEndpoint) for action in driver.actions)
-    driver.handle(Granted("c"))
+    assert any(isinstance(action, RequestEndpoint) for action in driver.actions)
+    driver.handle(EndpointGranted("c"))
     assert driver.opened().way is Way.PREFILL
 
 
 def test_a_copy_is_used_when_the_run_cannot_be_read_again():
     """Reading the run again from a crashed engine must not lose its copy."""
-    driver = Driver(evolve(POLICY, own_stream_tries=1))
-    driver.handle(Granted("a"))
+    driver = Driver(evolve(POLICY, reread_tries=1))
+    driver.handle(EndpointGranted("a"))
     driver.handle(CopyPlaced(1, "b"))
     driver.stream(1, 5)
     driver.handle(AttemptEnded(1, Loss.CUT))
@@ -130,10 +130,10 @@
 
 def start_racing_driver() -> Driver:
     driver = Driver(evolve(POLICY, races=True))
-    driver.handle(Granted("a"))
+    driver.handle(EndpointGranted("a"))
     driver.handle(CopyPlaced(1, "b"))
     driver.stream(1, 5)
-    driver.handle(EndpointSilent("a"))
+    driver.handle(EndpointStalled("a"))
     return driver
 
 
@@ -148,8 +148,8 @@
 def test_a_missing_copy_in_a_race_leads_to_a_new_prefill():
     driver = start_racing_driver()
     driver.handle(AttemptEnded(2, Loss.REFUSED))
-    assert any(isinstance(action, SeekEndpoint) for action in driver.actions)
-    driver.handle(Granted("c"))
+    assert any(isinstance(action, RequestEndpoint) for action in driver.actions)
+    driver.handle(EndpointGranted("c"))
     assert driver.opened().way is Way.PREFILL
 
 
@@ -196,7 +196,7 @@
             open_numbers.discard(number)
             driver.handle(AttemptEnded(number, Loss.REFUSED))
         elif step == "silent" and number:
-            driver.handle(EndpointSilent(driver.core.attempts[number].endpoint_id))
+            driver.handle(EndpointStalled(driver.core.attempts[number].endpoint_id))
         else:
             driver.handle(Tick())
         actions = list(driver.actions)
@@ -207,9 +207,9 @@
             elif isinstance(action, OpenAttempt):
                 open_numbers.add(action.attempt)
                 actions += driver.handle(CopyPlaced(action.attempt, f"k{grant_count}"))
-            elif isinstance(action, SeekEndpoint):
+            elif isinstance(action, RequestEndpoint):
                 grant_count += 1
-                actions += driver.handle(Granted(f"g{grant_count}"))
+                actions += driver.handle(EndpointGranted(f"g{grant_count}"))
         assert len(open_numbers) <= 1
     if not driver.core.ended and open_numbers:
         number = max(open_numbers)
@@ -220,12 +220,14 @@
         assert driver.core.state == "finished"
 
 
-def count_lost_runs(run_duration_ms: float, sound_after_ms: float) -> int:
+def count_lost_runs(run_duration_ms: float, reset_losses_after_ms: float) -> int:
     """How many runs an answer loses that each stream some events first."""
-    policy = evolve(POLICY, deaths_before_stop=3, sound_after_ms=sound_after_ms)
+    policy = evolve(
+        POLICY, deaths_before_stop=3, reset_losses_after_ms=reset_losses_after_ms
+    )
     driver = Driver(policy)
     for number in range(1, 20):
-        driver.handle(Granted(f"e{number}"))
+        driver.handle(EndpointGranted(f"e{number}"))
         driver.stream(number, 2 * number - 1)
         driver.now_ms += run_duration_ms
         driver.stream(number, 2 * number)
@@ -237,9 +239,9 @@
 
 def test_events_before_each_crash_do_not_reset_the_count_of_lost_runs():
     """A few events before each crash must not reset the count of lost runs."""
-    assert count_lost_runs(100, sound_after_ms=1_000) == 3
-    assert count_lost_runs(100, sound_after_ms=0) == 19
+    assert count_lost_runs(100, reset_losses_after_ms=1_000) == 3
+    assert count_lost_runs(100, reset_losses_after_ms=0) == 19
 
 
 def test_long_runs_reset_the_count_of_lost_runs():
-    assert count_lost_runs(1_200, sound_after_ms=1_000) == 19
+    assert count_lost_runs(1_200, reset_losses_after_ms=1_000) == 19
--- a/tests/cover/test_answers_under_faults.py
+++ b/tests/cover/test_answers_under_faults.py
@@ -12,7 +12,7 @@
 
 from coursekeel.answers import AnswerCore, Loss
 from tests.common.answer_world import AnswerWorld
-from tests.common.examples import schedules, until_broken
+from tests.common.examples import schedules, until_failure
 from tests.common.naive import NaiveAnswer
 
 ENDPOINTS = st.sampled_from(["a", "b", "c"])
@@ -103,7 +103,7 @@
 
 def test_the_naive_version_mixes_or_loses_tokens():
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(NaiveMachine, settings=until_broken())
+        run_state_machine_as_test(NaiveMachine, settings=until_failure())
 
 
 def world_with_tokens(tokens: int, races: bool = True) -> AnswerWorld:
--- a/tests/cover/test_arrival.py
+++ b/tests/cover/test_arrival.py
@@ -10,7 +10,7 @@
 from coursekeel.fetch._arrival import ResponseWatchdog, Transfer
 
 TIMEOUT_MS = 600.0
-TRANSFER = Transfer(pause_ms=1_000, most_ms=20_000, most_bytes=1_000_000)
+TRANSFER = Transfer(pause_ms=1_000, max_ms=20_000, most_bytes=1_000_000)
 TICK_MS = 1.0
 
 
@@ -73,7 +73,7 @@
     request = FakeRequest()
     request.receive_head()
     for _ in range(40):
-        request.wait(TRANSFER.most_ms / 40 - TICK_MS)
+        request.wait(TRANSFER.max_ms / 40 - TICK_MS)
         request.receive_chunk()
     assert not request.cancel_reason
     request.wait(40 * TICK_MS + TICK_MS)
@@ -120,7 +120,7 @@
         request.wait(pause_ms)
         request.receive_chunk()
     late = head_ms >= TIMEOUT_MS or max(pauses_ms, default=0) >= TRANSFER.pause_ms
-    left_ms = TRANSFER.most_ms - sum(pauses_ms)
+    left_ms = TRANSFER.max_ms - sum(pauses_ms)
     if late or left_ms < -TICK_MS:
         assert request.cancel_reason
     elif left_ms > TICK_MS:
--- a/tests/cover/test_calls_under_faults.py
+++ b/tests/cover/test_calls_under_faults.py
@@ -11,25 +11,25 @@
 
 from coursekeel.answers import RunState
 from coursekeel.calls import (
-    Begin,
+    CallArrived,
     CallCore,
     CallPolicy,
-    ClaimAnswered,
+    ClaimRead,
     ClaimRow,
-    ReadBack,
-    ReadBackAnswered,
+    ClaimWritten,
+    OutcomeRecorded,
+    ReadClaim,
     Record,
-    Recorded,
-    Reply,
-    Send,
+    SendCall,
     SendEnded,
     SendOutcome,
+    SendReply,
     ServiceReply,
     WriteClaim,
 )
 from coursekeel.storage import Transaction
-from tests.common.examples import schedules, until_broken
-from tests.common.fake_platform import WAYS, FakePlatform
+from tests.common.examples import schedules, until_failure
+from tests.common.fake_platform import OUTCOMES, FakePlatform
 from tests.common.naive import NaiveCall
 
 KEY = "calls/ikeja/booking/slot-42"
@@ -55,7 +55,7 @@
         self.calls += 1
         claim = ClaimRow(KEY, f"attempt-{self.calls}", f"entry-{self.calls}", "f")
         core = CallCore(CallPolicy(repeatable=False), claim, keyed=True)
-        self.carry_out(core, core.handle(Begin()))
+        self.carry_out(core, core.handle(CallArrived()))
 
     def carry_out(self, core, actions):
         for action in actions:
@@ -65,16 +65,16 @@
         match action:
             case WriteClaim():
                 write = Transaction({KEY: 0}, {KEY: action.row.to_row()})
-                self.request("transact", write, core, ClaimAnswered)
-            case ReadBack():
-                self.request("read", [action.key], core, ReadBackAnswered)
+                self.request("transact", write, core, ClaimWritten)
+            case ReadClaim():
+                self.request("read", [action.key], core, ClaimRead)
             case Record():
                 row = {KEY: action.row.to_row()}
                 write = Transaction({KEY: action.version}, row)
-                self.request("transact", write, core, Recorded)
-            case Send():
+                self.request("transact", write, core, OutcomeRecorded)
+            case SendCall():
                 self.sending.append(core)
-            case Reply():
+            case SendReply():
                 self.replies.append(action.reply)
 
     def request(self, kind, argument, core, event):
@@ -86,13 +86,13 @@
     # Steps of the schedule.
 
     @precondition(lambda self: self.platform.waiting)
-    @rule(index=st.integers(0, 9), how=st.sampled_from(WAYS))
+    @rule(index=st.integers(0, 9), how=st.sampled_from(OUTCOMES))
     def store_responds(self, index, how):
         self.platform.step(index, how)
 
     @rule()
     def apply_late_write(self):
-        self.platform.late_effect()
+        self.platform.apply_delayed_write()
 
     @precondition(lambda self: self.sending)
     @rule(index=st.integers(0, 9), how=SENDS)
@@ -130,7 +130,7 @@
 
     def run_until_settled(self):
         while self.platform.late:
-            self.platform.late_effect()
+            self.platform.apply_delayed_write()
         for _ in range(50):
             self.platform.drain()
             while self.sending:
@@ -173,18 +173,18 @@
 
 def test_the_naive_version_runs_a_call_twice():
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(NaiveCallMachine, settings=until_broken())
+        run_state_machine_as_test(NaiveCallMachine, settings=until_failure())
 
 
 def start_call(keyed=True, repeatable=False, claimed=True):
     claim = ClaimRow(KEY, "attempt-1", "entry-1", "f") if claimed else None
     core = CallCore(CallPolicy(repeatable), claim, keyed)
-    return core, core.handle(Begin())
+    return core, core.handle(CallArrived())
 
 
 def test_a_call_without_a_key_is_sent_at_once():
     _, actions = start_call(claimed=False, keyed=False)
-    assert actions == [Send()]
+    assert actions == [SendCall()]
 
 
 def test_an_unkeyed_call_that_was_not_sent_is_reported_as_not_run():
@@ -202,4 +202,4 @@
 
 def test_a_repeatable_call_is_sent_again_after_a_lost_reply():
     core, _ = start_call(claimed=False, keyed=False, repeatable=True)
-    assert core.handle(SendEnded(SendOutcome.MAYBE_SENT)) == [Send()]
+    assert core.handle(SendEnded(SendOutcome.MAYBE_SENT)) == [SendCall()]
--- a/tests/cover/test_canary.py
+++ b/tests/cover/test_canary.py
@@ -11,23 +11,23 @@
     Conductor,
     Evidence,
     Phase,
+    RolloutDecision,
     RolloutOrder,
     RolloutReport,
     Rollouts,
     RolloutState,
-    Ruling,
     SequentialJudge,
     Side,
     Tally,
     UnreadableRollout,
     decode_rollout,
+    encode_decision,
     encode_report,
-    encode_ruling,
 )
 from coursekeel.canary._tally import latency_bucket
 from coursekeel.forwarding import EndpointRecord
 from coursekeel.group import MAX_MESSAGE_BYTES
-from tests.common.moments import at
+from tests.common.moments import position_at
 
 ORDER = RolloutOrder("p", "v2", 12_000)
 BOUNDS = CanaryBounds()
@@ -44,7 +44,8 @@
     def __init__(self, **versions: str) -> None:
         self.rollouts = Rollouts(BOUNDS, Random(1), lambda: PERIOD_MS)
         self.listed = {
-            name: (record(name, version), at(1)) for name, version in versions.items()
+            name: (record(name, version), position_at(1))
+            for name, version in versions.items()
         }
 
     def split(self) -> dict[str, list[str]]:
@@ -53,8 +54,10 @@
         return {pool: sorted(names) for pool, names in by_pool.items()}
 
     def decide(self, phase: Phase, share: float = 0.5, now_ms: float = 0.0) -> None:
-        ruling = Ruling("i0", "p", "v2", at(7), phase, share, now_ms)
-        self.rollouts.heard(ruling, now_ms)
+        decision = RolloutDecision(
+            "i0", "p", "v2", position_at(7), phase, share, now_ms
+        )
+        self.rollouts.apply_decision(decision, now_ms)
 
     def pools_chosen(
         self, now_ms: float, first: bool = True, room: bool = True
@@ -76,31 +79,31 @@
 def test_a_later_version_serves_only_after_all_earlier_orders_were_read():
     pool = Pool(a="v1")
     pool.split()
-    pool.rollouts.orders_read(at(5))
-    pool.listed["b"] = (record("b", "v2"), at(6))
+    pool.rollouts.set_orders_position(position_at(5))
+    pool.listed["b"] = (record("b", "v2"), position_at(6))
     assert pool.split() == {"p": ["a"]}
-    assert pool.rollouts.orders_read(at(6)), "an endpoint waits for it"
+    assert pool.rollouts.set_orders_position(position_at(6)), "an endpoint waits for it"
     assert pool.split() == {"p": ["a", "b"]}
 
 
 def test_a_target_version_gets_no_requests_without_a_decision():
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     assert pool.split() == {"p": ["a"], "p@v2": ["b"]}
     assert pool.pools_chosen(0.0) == {"p"}
 
 
 def test_a_version_that_is_not_the_target_waits_while_the_pool_has_an_order():
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     pool.split()
-    pool.listed["c"] = (record("c", "v3"), at(9))
+    pool.listed["c"] = (record("c", "v3"), position_at(9))
     assert pool.split() == {"p": ["a"], "p@v2": ["b"]}
 
 
 def test_a_share_of_new_requests_goes_to_the_new_version_while_decisions_are_recent():
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     pool.split()
     pool.decide(Phase.TRYING, share=0.5)
     assert pool.pools_chosen(0.0) == {"p", "p@v2"}
@@ -117,34 +120,34 @@
 
 def test_a_rolled_back_version_gets_no_more_requests():
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     pool.decide(Phase.ROLLED_BACK)
     assert pool.split() == {"p": ["a"]}
     assert pool.pools_chosen(0.0) == {"p"}
-    assert not pool.rollouts.may_have(record("b", "v2"))
+    assert not pool.rollouts.may_receive(record("b", "v2"))
     pool.decide(Phase.TRYING)
     assert pool.pools_chosen(0.0) == {"p"}, "a delayed earlier decision changes nothing"
-    pool.rollouts.withdrawn([])
-    pool.rollouts.orders_read(at(20))
+    pool.rollouts.withdraw_all_except([])
+    pool.rollouts.set_orders_position(position_at(20))
     assert pool.split() == {"p": ["a"]}, "the end of its order changes nothing either"
 
 
 def test_a_version_whose_order_was_withdrawn_waits_until_it_is_ordered_again():
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     pool.split()
-    pool.rollouts.withdrawn([])
-    pool.rollouts.orders_read(at(20))
+    pool.rollouts.withdraw_all_except([])
+    pool.rollouts.set_orders_position(position_at(20))
     assert pool.split() == {"p": ["a"]}
-    pool.rollouts.ordered(ORDER, at(21), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(21), 0.0)
     assert pool.split() == {"p": ["a"], "p@v2": ["b"]}
 
 
 def test_an_order_of_the_version_in_force_stops_a_rollout():
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     pool.split()
-    pool.rollouts.ordered(RolloutOrder("p", "v1", 9_000), at(8), 0.0)
+    pool.rollouts.set_order(RolloutOrder("p", "v1", 9_000), position_at(8), 0.0)
     assert pool.split()["p"] == ["a"]
     assert all("b" not in names for names in pool.split().values())
 
@@ -152,30 +155,32 @@
 def test_an_instance_that_starts_during_a_rollout_learns_which_version_is_in_force():
     """The order is of the version in force, and so stops a rollout; both are listed."""
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(RolloutOrder("p", "v1", 9_000), at(8), 0.0)
+    pool.rollouts.set_order(RolloutOrder("p", "v1", 9_000), position_at(8), 0.0)
     assert pool.split()["p"] == ["b"], "a guess"
-    ruling = Ruling("i0", "p", "v1", at(8), Phase.TRYING, 0.1, 0.0, ("v1",))
-    assert pool.rollouts.heard(ruling, 0.0)
+    decision = RolloutDecision(
+        "i0", "p", "v1", position_at(8), Phase.TRYING, 0.1, 0.0, ("v1",)
+    )
+    assert pool.rollouts.apply_decision(decision, 0.0)
     assert pool.split()["p"] == ["a"]
-    assert pool.rollouts.known_in_force("p") == ("v1",)
+    assert pool.rollouts.confirmed_in_force("p") == ("v1",)
 
 
 def test_guessed_versions_in_force_are_not_reported():
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     pool.split()
-    assert pool.rollouts.known_in_force("p") == ()
+    assert pool.rollouts.confirmed_in_force("p") == ()
 
 
 def test_only_the_new_version_serves_from_the_closing_phase_on():
     pool = Pool(a="v1", b="v2", c="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     pool.decide(Phase.CLOSING)
     assert pool.split()["p"] == ["b", "c"]
-    assert not pool.rollouts.may_have(record("a", "v1"))
+    assert not pool.rollouts.may_receive(record("a", "v1"))
     pool.decide(Phase.COMPLETED)
     assert pool.split() == {"p": ["b", "c"]}
-    pool.rollouts.withdrawn([])
+    pool.rollouts.withdraw_all_except([])
     assert pool.split() == {"p": ["b", "c"]}, (
         "the old endpoints stop, though they are still listed"
     )
@@ -183,7 +188,7 @@
 
 def test_without_old_endpoints_the_new_ones_serve():
     pool = Pool(b="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     assert pool.split()["p"] == ["b"]
 
 
@@ -191,7 +196,7 @@
     old = {f"a{number}": "v1" for number in range(40)}
     new = {f"b{number}": "v2" for number in range(40)}
     pool = Pool(**old, **new)
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     split = pool.split()
     assert len(split["p"]) == 40
     assert len(split["p@v2"]) == 4
@@ -199,18 +204,18 @@
 
 def test_an_order_rewritten_after_a_restore_does_not_begin_again():
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     pool.decide(Phase.ROLLED_BACK)
-    assert pool.rollouts.ordered(ORDER, at(3, era=1), 9_000.0) is None
+    assert pool.rollouts.set_order(ORDER, position_at(3, era=1), 9_000.0) is None
     assert pool.split() == {"p": ["a"]}
 
 
 def test_another_order_begins_a_new_rollout():
     pool = Pool(a="v1", b="v2", c="v3")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     pool.split()
     other = RolloutOrder("p", "v3", 12_000)
-    assert pool.rollouts.ordered(other, at(9), 5_000.0) is not None
+    assert pool.rollouts.set_order(other, position_at(9), 5_000.0) is not None
     assert pool.split() == {"p": ["a"], "p@v3": ["c"]}
     pool.decide(Phase.COMPLETED)
     assert pool.rollouts.by_pool["p"].phase is Phase.TRYING, (
@@ -229,11 +234,11 @@
 
 def test_runs_lost_together_by_one_endpoint_count_once():
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     pool.split()
     for now_ms in (0.0, 10.0, 900.0, 1_001.0):
-        pool.rollouts.ended("p", "r", "b", True, 0.0, now_ms, lost=True)
-    pool.rollouts.ended("p", "r", "b", True, 5.0, 1_002.0)
+        pool.rollouts.count_end("p", "r", "b", True, 0.0, now_ms, lost=True)
+    pool.rollouts.count_end("p", "r", "b", True, 5.0, 1_002.0)
     (counted,) = pool.rollouts.by_pool["p"].tallies.values()
     assert (counted.answers, counted.failed) == (3, 3)
 
@@ -266,13 +271,13 @@
 
 def test_messages_survive_encoding_and_fit_datagrams():
     pool = Pool(a="v1", b="v2")
-    pool.rollouts.ordered(ORDER, at(7, era=3), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7, era=3), 0.0)
     pool.split()
     random = Random(3)
     for number in range(20_000):
         endpoint = random.choice("ab")
         took_ms = 2 ** random.uniform(0, 16)
-        pool.rollouts.ended(
+        pool.rollouts.count_end(
             "p", f"r{number % 50}", endpoint, number % 9 == 0, took_ms, 0
         )
     full_report = report(pool)
@@ -283,8 +288,10 @@
         assert group == "g"
         parts += part.rows
     assert parts == list(full_report.rows)
-    ruling = Ruling("i0", "p", "v2", at(7, era=3), Phase.CLOSING, 0.25, 1.5, ("v1",))
-    assert decode_rollout(encode_ruling("g", ruling)) == ("g", ruling)
+    decision = RolloutDecision(
+        "i0", "p", "v2", position_at(7, era=3), Phase.CLOSING, 0.25, 1.5, ("v1",)
+    )
+    assert decode_rollout(encode_decision("g", decision)) == ("g", decision)
 
 
 @given(st.binary(max_size=200))
@@ -304,7 +311,7 @@
 )
 def test_inconsistent_counters_are_refused(row):
     pool = Pool(a="v1")
-    pool.rollouts.ordered(ORDER, at(7), 0.0)
+    pool.rollouts.set_order(ORDER, position_at(7), 0.0)
     (data,) = encode_report("g", report(pool))
     corrupted = data.replace(b'"rows":[]', b'"rows":[' + row + b"]")
     assert corrupted != data
@@ -380,7 +387,7 @@
 
 
 def make_conductor() -> Conductor:
-    return Conductor(ORDER, at(7), BOUNDS, 0.0)
+    return Conductor(ORDER, position_at(7), BOUNDS, 0.0)
 
 
 def send_report(
@@ -393,8 +400,10 @@
     old_runs: int = 0,
 ) -> None:
     rows = (((0, Side.OLD), old), ((0, Side.NEW), new))
-    conductor.report(
-        RolloutReport(sender, "p", "v2", at(7), phase, now_ms, 1, old_runs, rows),
+    conductor.add_report(
+        RolloutReport(
+            sender, "p", "v2", position_at(7), phase, now_ms, 1, old_runs, rows
+        ),
         now_ms,
     )
 
@@ -404,36 +413,36 @@
     for second in range(8):
         now_ms = second * 1_000.0
         send_report(conductor, now_ms, tally(90 * second), tally(10 * second))
-        conductor.look(now_ms, leading=True, has_new=True)
+        conductor.evaluate(now_ms, leading=True, has_new=True)
     assert conductor.phase is Phase.CLOSING
     send_report(conductor, 8_000, tally(700), tally(90), Phase.CLOSING, old_runs=2)
-    assert conductor.wanted(8_000, ["i0"]) is RolloutState.RUNNING
+    assert conductor.desired_state(8_000, ["i0"]) is RolloutState.RUNNING
     send_report(conductor, 9_000, tally(700), tally(90), Phase.CLOSING)
-    assert conductor.wanted(9_000, ["i0"]) is RolloutState.COMPLETED
-    assert conductor.wanted(9_000, ["i0", "i1"]) is RolloutState.RUNNING, (
+    assert conductor.desired_state(9_000, ["i0"]) is RolloutState.COMPLETED
+    assert conductor.desired_state(9_000, ["i0", "i1"]) is RolloutState.RUNNING, (
         "i1 has sent no report"
     )
-    assert conductor.wanted(11_500, ["i0", "i1"]) is RolloutState.COMPLETED, (
+    assert conductor.desired_state(11_500, ["i0", "i1"]) is RolloutState.COMPLETED, (
         "time is over"
     )
-    conductor.recorded(RolloutState.COMPLETED)
+    conductor.state_written(RolloutState.COMPLETED)
     assert conductor.phase is Phase.COMPLETED
 
 
 def test_the_second_conductor_only_rolls_back():
     conductor = make_conductor()
-    conductor.look(11_900, leading=False, has_new=True)
+    conductor.evaluate(11_900, leading=False, has_new=True)
     assert conductor.phase is Phase.TRYING
     send_report(conductor, 11_950, tally(90), tally(30, 25))
-    conductor.look(11_960, leading=False, has_new=True)
+    conductor.evaluate(11_960, leading=False, has_new=True)
     assert conductor.phase is Phase.ROLLED_BACK
 
 
 def test_a_version_without_endpoints_is_rolled_back_at_the_end_of_its_time():
     conductor = make_conductor()
-    conductor.look(10_000, leading=True, has_new=False)
+    conductor.evaluate(10_000, leading=True, has_new=False)
     assert conductor.phase is Phase.TRYING
-    conductor.look(11_500, leading=True, has_new=False)
+    conductor.evaluate(11_500, leading=True, has_new=False)
     assert conductor.phase is Phase.ROLLED_BACK
     assert conductor.reason == "no_endpoints"
 
@@ -441,19 +450,21 @@
 def test_a_recorded_completion_overrides_a_rollback_and_stands():
     conductor = make_conductor()
     send_report(conductor, 100, tally(90), tally(30, 25))
-    conductor.look(100, leading=True, has_new=True)
+    conductor.evaluate(100, leading=True, has_new=True)
     assert conductor.phase is Phase.ROLLED_BACK
-    conductor.found(RolloutState.COMPLETED)
+    conductor.adopt_final_state(RolloutState.COMPLETED)
     assert conductor.phase is Phase.COMPLETED, "the old endpoints have stopped by now"
-    conductor.found(RolloutState.ROLLED_BACK)
+    conductor.adopt_final_state(RolloutState.ROLLED_BACK)
     assert conductor.phase is Phase.COMPLETED
 
 
 def test_a_replacing_conductor_learns_the_elapsed_time_from_reports():
-    conductor = Conductor(ORDER, at(7), BOUNDS, began_ms=8_000.0)
-    message = RolloutReport("i0", "p", "v2", at(7), Phase.TRYING, 7_500.0, 1, 0, ())
-    conductor.report(message, 8_100.0)
-    conductor.look(8_100.0, leading=True, has_new=True)
+    conductor = Conductor(ORDER, position_at(7), BOUNDS, began_ms=8_000.0)
+    message = RolloutReport(
+        "i0", "p", "v2", position_at(7), Phase.TRYING, 7_500.0, 1, 0, ()
+    )
+    conductor.add_report(message, 8_100.0)
+    conductor.evaluate(8_100.0, leading=True, has_new=True)
     assert conductor.phase is Phase.CLOSING
 
 
@@ -465,10 +476,10 @@
     exposed = seen = 0.0
     for tick in range(24):
         now_ms = tick * 500.0
-        conductor.look(now_ms, leading=True, has_new=True)
+        conductor.evaluate(now_ms, leading=True, has_new=True)
         if conductor.phase is not Phase.TRYING:
             break
-        share = conductor.ruling("i0", now_ms).share
+        share = conductor.decision("i0", now_ms).share
         seen += requests / 24
         exposed += share * requests / 24
         margin = 3.7 * exposed**0.5
--- a/tests/cover/test_configuration_under_faults.py
+++ b/tests/cover/test_configuration_under_faults.py
@@ -15,17 +15,17 @@
     Configuration,
     ConfigurationStore,
     Confirmed,
+    InstanceEvidence,
     Intent,
-    PeerEvidence,
     Plan,
     Rollout,
     Stale,
+    instances_to_wait_for,
     plan_key,
-    waits_for,
 )
 from coursekeel.storage import Row
-from tests.common.examples import schedules, until_broken
-from tests.common.fake_platform import WAYS, FakePlatform
+from tests.common.examples import schedules, until_failure
+from tests.common.fake_platform import OUTCOMES, FakePlatform
 
 ENTRIES = ["one", "two", "three"]
 
@@ -91,13 +91,13 @@
                 assert first == outcome, f"{plan_id}: {first}, then {outcome}"
 
     @precondition(lambda self: self.platform.waiting)
-    @rule(index=st.integers(0, 9), how=st.sampled_from(WAYS))
+    @rule(index=st.integers(0, 9), how=st.sampled_from(OUTCOMES))
     def store_responds(self, index, how):
         self.platform.step(index, how)
 
     @rule()
     def apply_late_write(self):
-        self.platform.late_effect()
+        self.platform.apply_delayed_write()
 
     @rule(name=st.sampled_from(ENTRIES))
     def read_row(self, name):
@@ -123,9 +123,10 @@
             return
         revision = row.value["revision"]
         evidence = {
-            name: PeerEvidence(name, view.revision) for name, view in self.views.items()
+            name: InstanceEvidence(name, view.revision)
+            for name, view in self.views.items()
         }
-        if not waits_for(revision, ENTRIES, evidence):
+        if not instances_to_wait_for(revision, ENTRIES, evidence):
             self.accepted = max(self.accepted, revision)
 
     def teardown(self):
@@ -146,7 +147,7 @@
 
 def test_the_naive_version_reverts():
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(NaiveConfigurationMachine, settings=until_broken())
+        run_state_machine_as_test(NaiveConfigurationMachine, settings=until_failure())
 
 
 def test_a_stale_plan_gets_the_revision_in_force():
@@ -182,9 +183,9 @@
 @pytest.mark.parametrize(
     ("evidence", "expected_ids"),
     [
-        (PeerEvidence("a", 4), []),
-        (PeerEvidence("a", 3), ["a"]),
-        (PeerEvidence("a", 3, refused_connection=True), []),
+        (InstanceEvidence("a", 4), []),
+        (InstanceEvidence("a", 3), ["a"]),
+        (InstanceEvidence("a", 3, refused_connection=True), []),
         (None, ["a"]),
     ],
 )
@@ -192,8 +193,8 @@
     evidence, expected_ids
 ):
     evidence_by_id = {"a": evidence} if evidence else {}
-    assert waits_for(4, ["a"], evidence_by_id) == expected_ids
-    assert waits_for(4, ["a"], evidence_by_id, frozenset(["a"])) == []
+    assert instances_to_wait_for(4, ["a"], evidence_by_id) == expected_ids
+    assert instances_to_wait_for(4, ["a"], evidence_by_id, frozenset(["a"])) == []
 
 
 def test_a_rollout_is_accepted_once_no_instance_is_waited_for():
@@ -201,7 +202,7 @@
     rollout.committed()
     assert rollout.review(["a"], {}) == ["a"]
     assert rollout.state == "committed"
-    assert rollout.review(["a"], {"a": PeerEvidence("a", 2)}) == []
+    assert rollout.review(["a"], {"a": InstanceEvidence("a", 2)}) == []
     assert rollout.state == "accepted"
 
 
--- a/tests/cover/test_crash_watch.py
+++ b/tests/cover/test_crash_watch.py
@@ -15,7 +15,7 @@
     QuarantineGate,
     QuarantinePass,
 )
-from tests.common.moments import at
+from tests.common.moments import position_at
 from tests.cover.test_fingerprint import CALL
 
 REPEATABLE_CALL = evolve(CALL, route=evolve(CALL.route, kind=RouteKind.REPEATABLE))
@@ -49,7 +49,7 @@
 
     def put(self, name: str, leaving: bool = False) -> None:
         record = EndpointRecord(name, "engines", "h", 1, "z", 8, leaving)
-        self.directory.put(record, at(1))
+        self.directory.put(record, position_at(1))
 
     def lose_run(self, name: str, call=CALL, **run) -> None:
         self.watch.run_lost(call, LostRun(name, "ResponseFailed", **run))
@@ -116,7 +116,7 @@
     [
         ({}, Sign.UNSEEN),
         ({"ran_ms": 9_000}, Sign.BEGAN),
-        ({"ran_ms": 500, "gave_ms": 400, "events": 9}, Sign.GAVE),
+        ({"ran_ms": 500, "streamed_ms": 400, "events": 9}, Sign.GAVE),
     ],
 )
 def test_the_strike_records_how_far_the_run_got(harness, run, sign):
@@ -128,7 +128,7 @@
     for number in range(3):
         harness.crash(f"e{number}", ran_ms=60)
     assert harness.gate.barred_ms(CALL) > 0
-    harness.lose_run("e3", ran_ms=1_500, gave_ms=1_100, events=30)
+    harness.lose_run("e3", ran_ms=1_500, streamed_ms=1_100, events=30)
     assert harness.gate.barred_ms(CALL) == 0
 
 
@@ -137,7 +137,7 @@
     if leaving:
         harness.put("e0", leaving=True)
     else:
-        harness.directory.remove("e0", at(1))
+        harness.directory.remove("e0", position_at(1))
     harness.lose_run("e0", ran_ms=60)
     assert harness.probes == []
 
--- a/tests/cover/test_endpoints.py
+++ b/tests/cover/test_endpoints.py
@@ -12,7 +12,7 @@
 from coursekeel.endpoints import EvidenceBook, LeavingMark, SilenceWatch
 from coursekeel.membership import GroupLease, Isolation, LapseWatch, LeaseTerms
 from coursekeel.storage import Committed, Row, Unsure
-from tests.common.examples import schedules, until_broken
+from tests.common.examples import schedules, until_failure
 from tests.common.fake_platform import FakePlatform
 
 FRESH_MS = 1_000.0
@@ -36,7 +36,9 @@
 
     @rule(incarnation=INCARNATIONS, leaving=st.booleans(), age_ms=st.floats(0, 3_000))
     def receive_status(self, incarnation, leaving, age_ms):
-        accepted = self.book.saw("e", incarnation, leaving, self.now_ms - age_ms)
+        accepted = self.book.record_status(
+            "e", incarnation, leaving, self.now_ms - age_ms
+        )
         if self.book_class is EvidenceBook:
             assert accepted == (incarnation not in self.replaced_incarnations)
         if incarnation in self.replaced_incarnations:
@@ -50,19 +52,19 @@
 
     @rule(leaving=st.booleans())
     def read_list(self, leaving):
-        self.book.listed("e", leaving)
+        self.book.record_listed("e", leaving)
         self.listed_leaving = leaving
         if leaving and self.current:
             self.left_incarnations.add(self.current)
 
     @rule(incarnation=INCARNATIONS)
     def receive_leaving_mark(self, incarnation):
-        self.book.hinted(LeavingMark("e", incarnation))
+        self.book.record_mark(LeavingMark("e", incarnation))
         self.left_incarnations.add(incarnation)
 
     @rule()
     def refuse_connection(self):
-        self.book.lost("e")
+        self.book.record_refused("e")
         self.seen_ms = float("-inf")
 
     @rule(ms=st.floats(0, 2_000))
@@ -83,17 +85,17 @@
     def __init__(self, fresh_ms):
         self.serving = False
 
-    def saw(self, endpoint_id, incarnation, leaving, asked_ms):
+    def record_status(self, endpoint_id, incarnation, leaving, asked_ms):
         self.serving = not leaving
         return True
 
-    def listed(self, endpoint_id, leaving):
+    def record_listed(self, endpoint_id, leaving):
         self.serving = not leaving
 
-    def hinted(self, mark):
+    def record_mark(self, mark):
         self.serving = False
 
-    def lost(self, endpoint_id):
+    def record_refused(self, endpoint_id):
         self.serving = False
 
     def may_take_new_work(self, endpoint_id, now_ms):
@@ -106,7 +108,7 @@
 
 def test_an_evidence_book_without_rules_gives_a_leaving_endpoint_new_work():
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(LatestReportMachine, settings=until_broken())
+        run_state_machine_as_test(LatestReportMachine, settings=until_failure())
 
 
 def test_a_leaving_endpoint_gets_no_new_work_despite_late_reports():
@@ -116,13 +118,13 @@
 def run_active_streams(endpoints, until_ms=1_000.0):
     silence = SilenceWatch()
     for name in endpoints:
-        silence.opened(name, 0.0)
+        silence.add_stream(name, 0.0)
     now_ms = 0.0
     while now_ms < until_ms:
         now_ms += 20.0
         for name in endpoints:
-            silence.heard(name, now_ms)
-        silence.review(now_ms, now_ms + 20.0)
+            silence.record_tokens(name, now_ms)
+        silence.newly_silent(now_ms, now_ms + 20.0)
     return silence, now_ms
 
 
@@ -132,8 +134,8 @@
     while now_ms < end_ms:
         now_ms += 20.0
         for name in active:
-            silence.heard(name, now_ms)
-        silent += silence.review(now_ms, now_ms + 20.0)
+            silence.record_tokens(name, now_ms)
+        silent += silence.newly_silent(now_ms, now_ms + 20.0)
     return silent
 
 
@@ -150,7 +152,7 @@
 
 def test_a_late_review_reports_no_endpoint():
     silence, now_ms = run_active_streams("abcdef")
-    assert silence.review(now_ms + 5_000, now_ms + 5_020) == []
+    assert silence.newly_silent(now_ms + 5_000, now_ms + 5_020) == []
 
 
 TERMS = LeaseTerms(length_ms=1_000, margin_ms=200)
@@ -176,13 +178,13 @@
             self.write(lease, lease.renew(self.now_ms), lost)
             return
         if row is not None:
-            watch.saw("lease", row.version, self.now_ms)
-        if row is None or row.value["free"] or watch.lapsed("lease"):
-            self.write(lease, lease.take(row, self.now_ms), lost)
+            watch.record_version("lease", row.version, self.now_ms)
+        if row is None or row.value["free"] or watch.is_lapsed("lease"):
+            self.write(lease, lease.acquire(row, self.now_ms), lost)
 
     def write(self, lease, transaction, lost):
         outcome = self.platform.apply(transaction)
-        lease.answered(Unsure("lost") if lost else outcome)
+        lease.apply_outcome(Unsure("lost") if lost else outcome)
         if isinstance(outcome, Committed) and not lost:
             assert lease.state == "held"
 
@@ -194,10 +196,10 @@
             self.run_one(index, lost=False)
 
     @rule(index=st.integers(0, 1))
-    def hand_back(self, index):
+    def release(self, index):
         lease = self.leases[index]
         if lease.state == "held":
-            self.platform.apply(lease.hand_back())
+            self.platform.apply(lease.release())
 
     @rule(ms=st.floats(1, 90))
     def advance_time(self, ms):
@@ -229,7 +231,7 @@
 
 def test_a_lease_without_expiry_has_two_holders_at_once():
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(NonExpiringLeaseMachine, settings=until_broken(60))
+        run_state_machine_as_test(NonExpiringLeaseMachine, settings=until_failure(60))
 
 
 def test_at_most_one_instance_surely_holds_the_lease():
@@ -238,14 +240,14 @@
 
 def test_a_store_outage_does_not_make_a_lease_lapse():
     watch = LapseWatch(TERMS, step_ms=100.0)
-    watch.saw("lease", 1, 0.0)
-    watch.saw("lease", 1, 60_000.0)
-    assert not watch.lapsed("lease")
+    watch.record_version("lease", 1, 0.0)
+    watch.record_version("lease", 1, 60_000.0)
+    assert not watch.is_lapsed("lease")
 
 
 def test_a_paused_instance_is_isolated_until_it_reaches_another():
     isolation = Isolation(limit_ms=500)
     assert isolation.isolated(0.0)
-    isolation.reached(0.0)
+    isolation.record_response(0.0)
     assert not isolation.isolated(400.0)
     assert isolation.isolated(10_000.0)
--- a/tests/cover/test_entry_suspects.py
+++ b/tests/cover/test_entry_suspects.py
@@ -71,9 +71,9 @@
 def make_watch(entries, task, status, leaving=()):
     evidence = EvidenceBook(1_000.0)
     for endpoint in leaving:
-        evidence.listed(endpoint, True)
+        evidence.record_listed(endpoint, True)
     adapter = Mock()
-    adapter.status = Mock(side_effect=lambda anew: succeed(status))
+    adapter.status = Mock(side_effect=lambda new_connection: succeed(status))
     return EndpointWatch(
         entries.reactor, entries.clock, task.gate, evidence, lambda _: adapter
     )
@@ -98,7 +98,7 @@
     assert entries.barred() == {"entry-0", "entry-1"}
     entries.cut = set()
     digest = entries.tasks["entry-1"].quarantine.digest
-    entries.tasks["entry-2"].heard_digest("entry-1", digest)
+    entries.tasks["entry-2"].receive_digest("entry-1", digest)
     assert entries.barred() == set(entries.tasks)
 
 
@@ -109,7 +109,7 @@
     entries.crash_endpoint("entry-2", "e2")
     entries.cut = set()
     digest = entries.tasks["entry-0"].quarantine.digest
-    entries.tasks["entry-2"].heard_digest("entry-0", digest)
+    entries.tasks["entry-2"].receive_digest("entry-0", digest)
     assert entries.barred() == {"entry-0", "entry-2"}
 
 
@@ -117,15 +117,15 @@
     entries.crash_endpoint("entry-0", "e0")
     task = entries.tasks["entry-1"]
     task.tell = Mock()
-    task.heard_digest("entry-0", entries.tasks["entry-0"].quarantine.digest)
-    task.heard_digest("entry-0", "")
+    task.receive_digest("entry-0", entries.tasks["entry-0"].quarantine.digest)
+    task.receive_digest("entry-0", "")
     task.tell.assert_not_called()
 
 
 def test_a_cleared_request_is_sent_to_all_entries(entries):
     for number in range(3):
         entries.crash_endpoint("entry-0", f"e{number}")
-    entries.tasks["entry-2"].gate.proved_sound(FakeRequest())
+    entries.tasks["entry-2"].gate.report_success(FakeRequest())
     assert not entries.barred()
 
 
@@ -178,7 +178,7 @@
     watch = make_watch(entries, task, REFUSES)
     for number in range(3):
         entries.reactor.advance(0.1)
-        watch.evidence.saw("e0", f"life-{number}", False, 0.0)
+        watch.evidence.record_status("e0", f"life-{number}", False, 0.0)
         watch.run_lost(FakeRequest(), "e0", Sign.BEGAN, engine=True)
     assert entries.barred() == set(entries.tasks)
 
--- a/tests/cover/test_failing_zones.py
+++ b/tests/cover/test_failing_zones.py
@@ -23,7 +23,7 @@
         (decision,) = router.place(make_request(number, **more), now_ms)
         assert isinstance(decision, Grant)
         zones.add(ENDPOINTS[decision.endpoint_id])
-        router.released(decision.endpoint_id, 1.0, now_ms)
+        router.release(decision.endpoint_id, 1.0, now_ms)
     return zones
 
 
@@ -55,8 +55,10 @@
     router.endpoints.lost("m", "a0", 0.0)
     router.endpoints.lost("m", "a1", 1.0)
     assert granted_zones(router, 2.0) == {"b", "c"}
-    assert ENDPOINTS[router.endpoints.for_copy(make_request(1), "b0", 2.0)] == "c"
-    asked = router.endpoints.to_ask(make_request(1), 2.0, 3)
+    assert (
+        ENDPOINTS[router.endpoints.choose_for_copy(make_request(1), "b0", 2.0)] == "c"
+    )
+    asked = router.endpoints.choose_to_query(make_request(1), 2.0, 3)
     assert {ENDPOINTS[endpoint_id] for endpoint_id in asked} == {"b", "c"}
 
 
@@ -66,7 +68,7 @@
     router = make_router()
     for number in range(20):
         request = make_request(number, avoided_zones=frozenset("a"))
-        assert ENDPOINTS[router.endpoints.for_copy(request, "b0", 0.0)] == "c"
+        assert ENDPOINTS[router.endpoints.choose_for_copy(request, "b0", 0.0)] == "c"
 
 
 def test_work_is_still_placed_when_every_zone_fails():
@@ -80,22 +82,25 @@
 def test_a_copy_is_placed_in_another_zone():
     router = make_router()
     for name, zone in ENDPOINTS.items():
-        assert ENDPOINTS[router.endpoints.for_copy(make_request(1), name, 0.0)] != zone
+        assert (
+            ENDPOINTS[router.endpoints.choose_for_copy(make_request(1), name, 0.0)]
+            != zone
+        )
 
 
 def test_a_resumed_request_goes_to_its_prompts_preferred_endpoint():
     router = make_router()
     first = make_request(1, prompt_key="k", prompt_tokens=8_000)
-    own = router.endpoints.to_ask(first, 0.0, 3)[0]
+    own = router.endpoints.choose_to_query(first, 0.0, 3)[0]
     again = make_router()
-    asked = again.endpoints.to_ask(first, 0.0, 3)
+    asked = again.endpoints.choose_to_query(first, 0.0, 3)
     assert asked[0] == own
     resumed = make_request(
         2,
         prompt_key="k",
         prompt_tokens=8_000,
         caller_resumes=True,
-        asked=frozenset(asked),
+        queried=frozenset(asked),
     )
     (decision,) = again.place(resumed, 0.0)
     assert decision.endpoint_id == own
--- a/tests/cover/test_fetch.py
+++ b/tests/cover/test_fetch.py
@@ -11,7 +11,7 @@
 from coursekeel.storage import Fetched, HttpPlatform, Unavailable
 
 TIMEOUT_MS = 1_000
-TRANSFER = Transfer(pause_ms=1_000, most_ms=20_000, most_bytes=100)
+TRANSFER = Transfer(pause_ms=1_000, max_ms=20_000, most_bytes=100)
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n"
 BODY = bytes(range(50))
 COMPRESSED_BODY = gzip.compress(BODY)
