--- a/tests/cover/test_follow_task.py
+++ b/tests/cover/test_follow_task.py
@@ -1,4 +1,4 @@
-"""How `FollowTask` queries a table and confirms it, also while the store fails."""
+"""How `TableWatchTask` queries a table and confirms it, also while the store fails."""
 
 from random import Random
 from unittest.mock import Mock
@@ -8,10 +8,10 @@
 from twisted.internet.task import Clock as FakeReactor
 
 from coursekeel.forwarding import Freshness, StoreClock
-from coursekeel.gateway._adapters import Reading, Source, SourceFailed, Table
+from coursekeel.gateway._adapters import Source, SourceFailed, Table, TableRead
 from coursekeel.gateway.members._table_feed import TableFeed
-from coursekeel.gateway.site._follow_task import FollowedTable, FollowTask
-from tests.common.moments import at
+from coursekeel.gateway.site._follow_task import FollowedTable, TableWatchTask
+from tests.common.moments import position_at
 
 
 @define(eq=False)
@@ -38,7 +38,7 @@
     reactor, source, clock = FakeReactor(), ScriptedSource(), Mock()
     clock.now_ms = lambda: reactor.seconds() * 1000
     table = FollowedTable(Table.ENDPOINTS, 4_000, 0, Mock(), Mock())
-    task = FollowTask(
+    task = TableWatchTask(
         reactor,
         clock,
         Random(1),
@@ -49,12 +49,12 @@
         StoreClock(),
         TableFeed(reactor, clock),
     )
-    reading = Reading((), at(3), 0.0, whole=False)
+    table_read = TableRead((), position_at(3), 0.0, whole=False)
     task.start()
-    source.answers[0].callback(reading)
+    source.answers[0].callback(table_read)
     source.answers[1].callback(SourceFailed("silent"))
     reactor.advance(0.5)
-    source.answers[2].callback(reading)
+    source.answers[2].callback(table_read)
     reactor.advance(0.5)
     task.stop()
     assert source.holds == [0.0, 4_000, 0.0, 4_000]
@@ -65,7 +65,7 @@
     freshness = Freshness()
     table = FollowedTable(Table.ENDPOINTS, 4_000, 0, Mock(), Mock(), **callbacks)
     feed = TableFeed(reactor, clock)
-    task = FollowTask(
+    task = TableWatchTask(
         reactor, clock, Random(1), source, table, 1_000, freshness, StoreClock(), feed
     )
     task.start()
@@ -75,13 +75,13 @@
 def test_after_a_restore_nothing_is_applied_before_the_whole_table_is_read():
     reactor, source, restored = FakeReactor(), ScriptedSource(), Mock()
     task, table, _ = followed_table(reactor, source, restored=restored)
-    source.answers[0].callback(Reading((), at(412), 0.0, whole=True))
+    source.answers[0].callback(TableRead((), position_at(412), 0.0, whole=True))
     reactor.advance(0)
     applied = table.take.call_count
-    source.answers[1].callback(Reading((), at(412, era=1), 0.0, whole=False))
+    source.answers[1].callback(TableRead((), position_at(412, era=1), 0.0, whole=False))
     assert table.take.call_count == applied, "412 of another era is another 412"
     assert source.holds[2] == 0.0
-    source.answers[2].callback(Reading((), at(400, era=1), 0.0, whole=True))
+    source.answers[2].callback(TableRead((), position_at(400, era=1), 0.0, whole=True))
     assert restored.call_count == 1
     assert table.take.call_count == applied + 1
     task.stop()
@@ -90,11 +90,11 @@
 def test_a_late_response_of_the_previous_era_confirms_nothing():
     reactor, source = FakeReactor(), ScriptedSource()
     task, table, freshness = followed_table(reactor, source)
-    source.answers[0].callback(Reading((), at(5, era=2), 0.0, whole=True))
-    proven_ms, applied = freshness.proven_ms("endpoints"), table.take.call_count
+    source.answers[0].callback(TableRead((), position_at(5, era=2), 0.0, whole=True))
+    confirmed_ms, applied = freshness.confirmed_ms("endpoints"), table.take.call_count
     reactor.advance(1)
-    source.answers[1].callback(Reading((), at(900, era=1), 0.0, whole=True))
-    assert freshness.proven_ms("endpoints") == proven_ms
+    source.answers[1].callback(TableRead((), position_at(900, era=1), 0.0, whole=True))
+    assert freshness.confirmed_ms("endpoints") == confirmed_ms
     assert table.take.call_count == applied
     task.stop()
 
@@ -108,19 +108,21 @@
 
     def answer(number: int) -> None:
         store_ms = reactor.seconds() * 1000
-        source.answers[number].callback(Reading((), at(9), store_ms, whole=True))
+        source.answers[number].callback(
+            TableRead((), position_at(9), store_ms, whole=True)
+        )
 
     answer(0)
     reactor.advance(1)
-    proven_ms = freshness.proven_ms("endpoints")
+    confirmed_ms = freshness.confirmed_ms("endpoints")
     table.take.side_effect = ValueError("a fault of ours")
     for number in (1, 2, 3):
         answer(number)
         reactor.advance(1)
-        assert freshness.proven_ms("endpoints") == proven_ms
+        assert freshness.confirmed_ms("endpoints") == confirmed_ms
     table.take.side_effect = None
     answer(4)
-    assert freshness.proven_ms("endpoints") > proven_ms
+    assert freshness.confirmed_ms("endpoints") > confirmed_ms
     task.stop()
 
 
@@ -129,16 +131,16 @@
     is then up to date."""
     reactor, source = FakeReactor(), ScriptedSource()
     task, table, freshness = followed_table(reactor, source)
-    source.answers[0].callback(Reading((), at(100), 0.0, whole=True))
+    source.answers[0].callback(TableRead((), position_at(100), 0.0, whole=True))
     reactor.advance(1)
-    applied, proven_ms = table.take.call_count, freshness.proven_ms("endpoints")
-    source.answers[1].callback(Reading((), at(55), 1_000.0, whole=False))
+    applied, confirmed_ms = table.take.call_count, freshness.confirmed_ms("endpoints")
+    source.answers[1].callback(TableRead((), position_at(55), 1_000.0, whole=False))
     assert table.take.call_count == applied
-    assert freshness.proven_ms("endpoints") == proven_ms
+    assert freshness.confirmed_ms("endpoints") == confirmed_ms
     assert source.holds[2] == 0.0
-    source.answers[2].callback(Reading((), at(55), 1_000.0, whole=True))
+    source.answers[2].callback(TableRead((), position_at(55), 1_000.0, whole=True))
     assert table.take.call_count == applied + 1
-    assert freshness.proven_ms("endpoints") > proven_ms
+    assert freshness.confirmed_ms("endpoints") > confirmed_ms
     task.stop()
 
 
@@ -148,14 +150,14 @@
     reactor, source = FakeReactor(), ScriptedSource()
     task, _, freshness = followed_table(reactor, source)
     reactor.advance(2)
-    source.answers[0].callback(Reading((), at(5), 0.0, whole=True))
+    source.answers[0].callback(TableRead((), position_at(5), 0.0, whole=True))
     reactor.advance(0)
     reactor.advance(4.3)
-    source.answers[1].callback(Reading((), at(6), 2_300.0, whole=False))
-    assert freshness.proven_ms("endpoints") <= 2_300.0
+    source.answers[1].callback(TableRead((), position_at(6), 2_300.0, whole=False))
+    assert freshness.confirmed_ms("endpoints") <= 2_300.0
     reactor.advance(4.1)
-    source.answers[2].callback(Reading((), at(6), 10_300.0, whole=False))
-    assert freshness.proven_ms("endpoints") >= 10_250.0
+    source.answers[2].callback(TableRead((), position_at(6), 10_300.0, whole=False))
+    assert freshness.confirmed_ms("endpoints") >= 10_250.0
     task.stop()
 
 
@@ -165,6 +167,6 @@
     clock = Mock(now_ms=lambda: reactor.seconds() * 1000)
     feed = TableFeed(reactor, clock)
     reactor.advance(1)
-    feed.took(Reading((), at(5), 0.0, whole=True), -3_000.0)
+    feed.took(TableRead((), position_at(5), 0.0, whole=True), -3_000.0)
     feed.request(None, 0.0, answers.append)
     assert answers[0].age_ms == 4_000.0
--- a/tests/cover/test_forwarding.py
+++ b/tests/cover/test_forwarding.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from coursekeel.answers import OfferKind
+from coursekeel.answers import OfferOutcome
 from coursekeel.forwarding import (
     EndpointDirectory,
     EndpointRecord,
@@ -20,14 +20,14 @@
     RouteKind,
     RouteTable,
     StoreClock,
-    StoreMoment,
+    StorePosition,
     Team,
+    confirmed_time_ms,
     event_number,
     key_digest,
-    proven_moment_ms,
     split_events,
 )
-from tests.common.moments import at
+from tests.common.moments import position_at
 
 ONE_POOL = (PoolShare("p"),)
 
@@ -80,15 +80,15 @@
 
 
 def test_a_read_confirms_the_time_at_which_it_was_sent():
-    assert proven_moment_ms(100.0, 180.0, 0.0) == 100.0
+    assert confirmed_time_ms(100.0, 180.0, 0.0) == 100.0
 
 
 def test_an_empty_long_poll_confirms_the_end_of_the_hold():
-    assert 2_090 <= proven_moment_ms(100.0, 2_105.0, 2_000.0) <= 2_100
+    assert 2_090 <= confirmed_time_ms(100.0, 2_105.0, 2_000.0) <= 2_100
 
 
 def test_a_long_poll_that_ended_early_confirms_only_its_start():
-    assert proven_moment_ms(100.0, 600.0, 2_000.0) == 100.0
+    assert confirmed_time_ms(100.0, 600.0, 2_000.0) == 100.0
 
 
 def test_a_delayed_response_confirms_only_the_time_it_was_made():
@@ -143,11 +143,11 @@
         self.now_ms = made_ms + response_delay_ms + pause_ms
         self.cached_version = version
         held_ms = hold_ms if fresh else 0.0
-        moment_ms = proven_moment_ms(sent_ms, self.now_ms, held_ms)
+        moment_ms = confirmed_time_ms(sent_ms, self.now_ms, held_ms)
         store_ms = made_ms - 7_777.0
         latest_ms = self.clock.latest_ms(0, store_ms, self.now_ms)
         earliest_ms = self.clock.earliest_ms(0, store_ms, sent_ms)
-        self.freshness.proved("t", min(moment_ms, earliest_ms, latest_ms))
+        self.freshness.record_confirmation("t", min(moment_ms, earliest_ms, latest_ms))
 
     @invariant()
     def cached_state_was_current_within_its_age(self):
@@ -172,91 +172,91 @@
 
 def test_an_older_record_is_ignored():
     directory = EndpointDirectory()
-    directory.put(make_record("a", leaving=True), at(7))
-    directory.put(make_record("a"), at(6))
+    directory.put(make_record("a", leaving=True), position_at(7))
+    directory.put(make_record("a"), position_at(6))
     assert not directory.may_take("a", 0.0)
 
 
 def test_a_leaving_or_removed_endpoint_takes_no_work():
     directory = EndpointDirectory()
-    directory.put(make_record("a"), at(1))
+    directory.put(make_record("a"), position_at(1))
     assert directory.may_take("a", 0.0)
-    directory.put(make_record("a", leaving=True), at(2))
+    directory.put(make_record("a", leaving=True), position_at(2))
     assert not directory.may_take("a", 0.0)
-    directory.remove("a", at(3))
+    directory.remove("a", position_at(3))
     assert not directory.may_take("a", 0.0)
 
 
 def test_the_newer_of_two_incarnations_at_an_address_is_used():
     directory = EndpointDirectory()
-    directory.put(make_record("new"), at(9))
-    directory.put(make_record("old"), at(4))
-    directory.put(make_record("other", port=2), at(1))
+    directory.put(make_record("new"), position_at(9))
+    directory.put(make_record("old"), position_at(4))
+    directory.put(make_record("other", port=2), position_at(1))
     assert sorted(directory.pools()["p"]) == ["new", "other"]
 
 
 def test_a_whole_list_removes_what_it_does_not_name():
     directory = EndpointDirectory()
-    directory.put(make_record("a"), at(1))
-    directory.replace_all([(make_record("b", port=2), at(2))])
+    directory.put(make_record("a"), position_at(1))
+    directory.replace_all([(make_record("b", port=2), position_at(2))])
     assert directory.pools() == {"p": ["b"]}
 
 
 def test_endpoints_missing_after_an_outage_serve_until_settled():
     directory = EndpointDirectory()
-    directory.put(make_record("a"), at(1))
-    directory.put(make_record("b", port=2), at(2))
-    directory.store_returned()
-    directory.remove("a", at(3))
+    directory.put(make_record("a"), position_at(1))
+    directory.put(make_record("b", port=2), position_at(2))
+    directory.begin_recovery()
+    directory.remove("a", position_at(3))
     directory.replace_all([])
     assert sorted(directory.pools()["p"]) == ["a", "b"]
     assert directory.may_take("a", 0.0)
-    directory.put(make_record("b", port=2), at(4))
-    assert directory.settle() == ["a"]
+    directory.put(make_record("b", port=2), position_at(4))
+    assert directory.remove_missing() == ["a"]
     assert directory.pools() == {"p": ["b"]}
-    directory.remove("b", at(5))
+    directory.remove("b", position_at(5))
     assert directory.pools() == {}
 
 
 def test_a_leaving_endpoint_missing_after_an_outage_is_removed():
     directory = EndpointDirectory()
-    directory.put(make_record("a", leaving=True), at(1))
-    directory.store_returned()
-    directory.remove("a", at(2))
+    directory.put(make_record("a", leaving=True), position_at(1))
+    directory.begin_recovery()
+    directory.remove("a", position_at(2))
     assert directory.record("a") is None
 
 
 def test_a_missing_endpoint_can_be_ejected():
     directory = EndpointDirectory()
-    directory.put(make_record("a"), at(1))
-    directory.store_returned()
-    directory.remove("a", at(2))
-    directory.failed("a", 0.0)
+    directory.put(make_record("a"), position_at(1))
+    directory.begin_recovery()
+    directory.remove("a", position_at(2))
+    directory.eject("a", 0.0)
     assert not directory.may_take("a", 1.0)
 
 
 def test_ejection_time_doubles_for_successive_failures():
     directory = EndpointDirectory()
-    directory.put(make_record("a"), at(1))
-    first = directory.failed("a", 0.0)
+    directory.put(make_record("a"), position_at(1))
+    first = directory.eject("a", 0.0)
     assert not directory.may_take("a", first - 1)
     assert directory.may_take("a", first)
-    second = directory.failed("a", first)
+    second = directory.eject("a", first)
     assert second == 2 * first
-    assert directory.failed("a", 60_000.0) == first
+    assert directory.eject("a", 60_000.0) == first
 
 
 def test_a_failure_while_ejected_does_not_extend_the_ejection():
     directory = EndpointDirectory()
-    directory.put(make_record("a"), at(1))
-    first = directory.failed("a", 0.0)
-    assert directory.failed("a", 10.0) == first - 10.0
+    directory.put(make_record("a"), position_at(1))
+    first = directory.eject("a", 0.0)
+    assert directory.eject("a", 10.0) == first - 10.0
 
 
 def test_a_replaced_incarnation_is_never_used_again():
     directory = EndpointDirectory()
-    directory.put(make_record("a"), at(1))
-    directory.replaced("a")
+    directory.put(make_record("a"), position_at(1))
+    directory.mark_replaced("a")
     assert not directory.may_take("a", 1e9)
 
 
@@ -277,15 +277,15 @@
         numbers = list(range(start + 1, start + 1 + count))
         held = ledger.next_position
         offer = ledger.offer(start, numbers, [event(number) for number in numbers])
-        assert (offer.kind is OfferKind.GAP) == (start > held)
+        assert (offer.kind is OfferOutcome.GAP) == (start > held)
         accepted += ledger.take()
     assert accepted == b"".join(event(n + 1) for n in range(ledger.next_position))
 
 
 def test_a_ledger_resumes_after_the_callers_last_event():
     ledger = EventLedger(12)
-    assert ledger.offer(11, [12], [event(12)]).kind is OfferKind.REPEATED
-    assert ledger.offer(12, [13], [event(13)]).kind is OfferKind.EXTENDED
+    assert ledger.offer(11, [12], [event(12)]).kind is OfferOutcome.REPEATED
+    assert ledger.offer(12, [13], [event(13)]).kind is OfferOutcome.EXTENDED
     assert ledger.take() == event(13)
 
 
@@ -318,21 +318,21 @@
 
 def test_a_version_of_a_later_era_is_newer():
     directory = EndpointDirectory()
-    directory.put(make_record("a"), at(412))
-    directory.put(make_record("a", leaving=True), at(12, era=1))
+    directory.put(make_record("a"), position_at(412))
+    directory.put(make_record("a", leaving=True), position_at(12, era=1))
     assert not directory.may_take("a", 0.0)
-    directory.put(make_record("a"), at(413))
+    directory.put(make_record("a"), position_at(413))
     assert not directory.may_take("a", 0.0), "a late update of the earlier era"
 
 
 def test_a_restore_neither_revives_nor_removes_endpoints_at_once():
     directory = EndpointDirectory()
     for port, name in enumerate(("lives", "lacked", "leaves", "gone"), 1):
-        directory.put(make_record(name, port), at(port))
-    directory.put(make_record("leaves", 3, leaving=True), at(8))
-    directory.remove("gone", at(9))
+        directory.put(make_record(name, port), position_at(port))
+    directory.put(make_record("leaves", 3, leaving=True), position_at(8))
+    directory.remove("gone", position_at(9))
     copy = [
-        (make_record(name, port), at(port, era=1))
+        (make_record(name, port), position_at(port, era=1))
         for port, name in ((1, "lives"), (3, "leaves"), (4, "gone"))
     ]
     directory.restore(copy)
@@ -342,15 +342,15 @@
         if directory.may_take(endpoint_id, 0.0)
     ]
     assert available == ["lives", "lacked"]
-    assert directory.settle() == ["lacked"]
+    assert directory.remove_missing() == ["lacked"]
 
 
 def test_an_endpoint_that_registers_after_a_restore_is_served():
     directory = EndpointDirectory()
-    directory.put(make_record("a"), at(3))
-    directory.remove("a", at(4))
-    directory.restore([(make_record("a"), at(3, era=1))])
-    directory.put(make_record("a"), at(4, era=1))
+    directory.put(make_record("a"), position_at(3))
+    directory.remove("a", position_at(4))
+    directory.restore([(make_record("a"), position_at(3, era=1))])
+    directory.put(make_record("a"), position_at(4, era=1))
     assert directory.may_take("a", 0.0)
 
 
@@ -361,10 +361,10 @@
 
 
 def test_a_store_position_round_trips_as_text():
-    assert StoreMoment.parse(str(at(412, era=3))) == at(412, era=3)
+    assert StorePosition.parse(str(position_at(412, era=3))) == position_at(412, era=3)
     for text in ("412", "x.1", "1.", "-1.2"):
         with pytest.raises(ValueError):
-            StoreMoment.parse(text)
+            StorePosition.parse(text)
 
 
 @pytest.mark.parametrize("drift", [-1e-4, 1e-4])
--- a/tests/cover/test_freshness_machine.py
+++ b/tests/cover/test_freshness_machine.py
@@ -12,14 +12,14 @@
     ForwardingConfiguration,
     Freshness,
     Team,
+    confirmed_time_ms,
     key_digest,
-    proven_moment_ms,
 )
-from coursekeel.gateway._adapters import Reading, Removed, Versioned
+from coursekeel.gateway._adapters import Removed, TableRead, VersionedEntry
 from coursekeel.gateway._live_settings import LiveSettings
-from coursekeel.gateway.site._known_site import KnownSite
+from coursekeel.gateway.site._site_state import SiteState
 from coursekeel.settings import GatewayListen, GatewaySettings
-from tests.common.moments import at
+from tests.common.moments import position_at
 
 NAMES = ("a", "b", "c")
 KEYS = ("k1", "k2", "k3")
@@ -44,19 +44,19 @@
     def begin(self) -> None:
         self.reactor = FakeReactor()
         self.directory = EndpointDirectory()
-        self.site = KnownSite(
+        self.site = SiteState(
             self.reactor, Mock(), LiveSettings(SETTINGS), self.directory, Mock()
         )
         self.freshness = Freshness()
         self.version = 0
-        self.rows: dict[str, Versioned] = {}
+        self.rows: dict[str, VersionedEntry] = {}
         self.read_version = 0
         self.store_is_down = False
         self.outage_ms = 0.0
         self.keys = frozenset(KEYS)
         self.revoked_ms: dict[str, float] = {}
         self.configuration = 0
-        self.take_configuration()
+        self.apply_configuration()
         for name in NAMES:
             self.write(record(name))
         self.follow(0)
@@ -68,7 +68,7 @@
     def write(self, entry: EndpointRecord | Removed) -> None:
         self.version += 1
         name = entry.entry_id if isinstance(entry, Removed) else entry.endpoint_id
-        self.rows[name] = Versioned(entry, at(self.version))
+        self.rows[name] = VersionedEntry(entry, position_at(self.version))
 
     @rule(name=st.sampled_from(NAMES), leaving=st.booleans())
     def an_endpoint_writes_its_row(self, name: str, leaving: bool) -> None:
@@ -96,7 +96,11 @@
             self.outage_ms += HOLD_MS
             self.reactor.advance(HOLD_MS / 1000)
             return
-        rows = [row for row in self.rows.values() if row.moment > at(self.read_version)]
+        rows = [
+            row
+            for row in self.rows.values()
+            if row.position > position_at(self.read_version)
+        ]
         self.read(rows, whole=False, delay_ms=delay_ms)
 
     @rule(delay_ms=st.integers(0, 300))
@@ -108,15 +112,19 @@
         ]
         self.read(live_rows, whole=True, delay_ms=delay_ms)
 
-    def read(self, rows: list[Versioned], whole: bool, delay_ms: float) -> None:
+    def read(self, rows: list[VersionedEntry], whole: bool, delay_ms: float) -> None:
         sent_ms, version = self.now_ms, self.version
         self.reactor.advance(delay_ms / 1000)
         if self.outage_ms:
-            self.site.endpoints_back(self.outage_ms)
+            self.site.prepare_after_outage(self.outage_ms)
             self.outage_ms = 0.0
-        self.freshness.proved("list", proven_moment_ms(sent_ms, self.now_ms, 0.0))
+        self.freshness.record_confirmation(
+            "list", confirmed_time_ms(sent_ms, self.now_ms, 0.0)
+        )
         self.read_version = version
-        self.site.take_endpoints(Reading(tuple(rows), at(version), self.now_ms, whole))
+        self.site.apply_endpoints(
+            TableRead(tuple(rows), position_at(version), self.now_ms, whole)
+        )
 
     @rule(key=st.sampled_from(KEYS))
     def a_key_is_revoked(self, key: str) -> None:
@@ -125,12 +133,12 @@
             self.revoked_ms[key] = self.now_ms
 
     @rule()
-    def take_configuration(self) -> None:
+    def apply_configuration(self) -> None:
         """The current configuration is read, and then an older one again."""
         if self.store_is_down:
             return
         self.configuration += 1
-        self.freshness.proved("keys", self.now_ms)
+        self.freshness.record_confirmation("keys", self.now_ms)
         for version, keys in (
             (self.configuration, tuple(sorted(self.keys))),
             (self.configuration - 1, KEYS),
@@ -138,9 +146,9 @@
             configuration = ForwardingConfiguration(
                 version=version, teams=(Team("t", _digests(keys)),), keyed=True
             )
-            entry = Versioned(configuration, at(version))
-            self.site.take_configuration(
-                Reading((entry,), at(version), self.now_ms, False)
+            entry = VersionedEntry(configuration, position_at(version))
+            self.site.apply_configuration(
+                TableRead((entry,), position_at(version), self.now_ms, False)
             )
 
     @rule(wait_ms=st.integers(1, 3_000))
@@ -158,7 +166,7 @@
     @invariant()
     def an_endpoint_read_as_leaving_takes_no_requests(self) -> None:
         for name, row in self.rows.items():
-            if row.moment > at(self.read_version) or not isinstance(
+            if row.position > position_at(self.read_version) or not isinstance(
                 row.entry, EndpointRecord
             ):
                 continue
@@ -168,7 +176,7 @@
     @invariant()
     def an_endpoint_read_as_removed_is_used_only_while_the_list_settles(self) -> None:
         for name, row in self.rows.items():
-            gone = isinstance(row.entry, Removed) and row.moment <= at(
+            gone = isinstance(row.entry, Removed) and row.position <= position_at(
                 self.read_version
             )
             if gone and self.directory.may_take(name, self.now_ms):
--- a/tests/cover/test_gateway_metrics.py
+++ b/tests/cover/test_gateway_metrics.py
@@ -2,7 +2,7 @@
 
 from unittest.mock import Mock
 
-from coursekeel.forwarding import Belief
+from coursekeel.forwarding import ConfigurationAge
 from coursekeel.gateway._metrics import GatewayMetrics
 
 TEAMS, ROUTES = 24, 100
@@ -54,7 +54,9 @@
     """Without them a request that ran with a revoked key can't be traced in the log."""
     log_event = Mock()
     monkeypatch.setattr("coursekeel.gateway._metrics.log_event", log_event)
-    metrics = GatewayMetrics(Mock(now_ms=lambda: 100.0), lambda: Belief(41, 1_250.4))
-    metrics.chosen(Mock(due_ms=900.0), "e", "whole", None)
+    metrics = GatewayMetrics(
+        Mock(now_ms=lambda: 100.0), lambda: ConfigurationAge(41, 1_250.4)
+    )
+    metrics.chosen(Mock(deadline_ms=900.0), "e", "whole", None)
     assert log_event.call_args.kwargs["configuration"] == 41
     assert log_event.call_args.kwargs["belief_age_ms"] == 1_250
--- a/tests/cover/test_golden_forms.py
+++ b/tests/cover/test_golden_forms.py
@@ -20,7 +20,7 @@
     RunState,
     Segment,
     answer_key,
-    owned_key,
+    owner_index_key,
 )
 from coursekeel.calls import ClaimRow, ServiceReply, claim_key, fingerprint_of
 from coursekeel.intents import (
@@ -34,16 +34,16 @@
 from coursekeel.membership import GroupLease, LeaseTerms
 from coursekeel.peers import peer_pb2 as pb
 from coursekeel.quarantine import (
-    KeptSuspect,
     QuarantineKind,
     QuarantineMessage,
     Sign,
+    StoredSuspect,
     Strike,
     SuspectRecord,
-    decode_kept,
-    encode_kept,
+    decode_stored,
     encode_quarantine,
-    told_of,
+    encode_stored,
+    to_sent_record,
 )
 from coursekeel.settings import (
     parse_gateway_settings,
@@ -107,7 +107,7 @@
 
 def _leases() -> dict[str, Any]:
     lease = GroupLease("leases/g", "entry-1/7", LeaseTerms(2_500, 500))
-    taken = lease.take(None, 0.0)
+    taken = lease.acquire(None, 0.0)
     return {"take": [taken.expected, taken.writes]}
 
 
@@ -153,11 +153,11 @@
     """A barred request, as it is stored and as members send it to each other."""
     record = SuspectRecord("f" * 24, 1, 2, 500.0)
     for number, sign in enumerate(Sign):
-        record = record.struck(Strike.of(f"e{number}", sign, 600.0 + number))
-    told = told_of(record, 1_000.0)
+        record = record.with_strike(Strike.of(f"e{number}", sign, 600.0 + number))
+    told = to_sent_record(record, 1_000.0)
     news = QuarantineMessage("g", QuarantineKind.NEWS, "h:1", "0" * 16, 3, 4, (told,))
     return {
-        "row": encode_kept(KeptSuspect(told, 70_000.0)).decode(),
+        "row": encode_stored(StoredSuspect(told, 70_000.0)).decode(),
         "news": encode_quarantine(news).decode(),
     }
 
@@ -178,7 +178,7 @@
     settled = CLAIM.settled(RunState.RAN, ServiceReply(200, "text/plain", b"ok"))
     values = {
         "answer row": {"key": RECORD.key, "index": RECORD.index_key} | RECORD.to_row(),
-        "answer keys": [answer_key("t", "r"), owned_key("o", 3)],
+        "answer keys": [answer_key("t", "r"), owner_index_key("o", 3)],
         "claim rows": [CLAIM.to_row(), settled.to_row()],
         "claim keys": [claim_key("t", "s", "k"), fingerprint_of("POST", "/p", b"b")],
         "segment": [SEGMENT.object_key, b64encode(SEGMENT.to_bytes()).decode()],
@@ -221,9 +221,9 @@
     assert Plan.from_json(golden["plan"][1]) == _plan()
     stored = Configuration.from_json(golden["configuration"])
     assert stored == Configuration(5, _plan().intent, "p-1")
-    kept = decode_kept(golden["suspects"]["row"].encode())
-    assert isinstance(kept, KeptSuspect)
-    assert encode_kept(kept).decode() == golden["suspects"]["row"]
+    kept = decode_stored(golden["suspects"]["row"].encode())
+    assert isinstance(kept, StoredSuspect)
+    assert encode_stored(kept).decode() == golden["suspects"]["row"]
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_group_view.py
+++ b/tests/cover/test_group_view.py
@@ -38,7 +38,7 @@
         Mock(),
         Mock(),
     )
-    freshness.proved(TABLE.value, NOW_MS - 8_000)
+    freshness.record_confirmation(TABLE.value, NOW_MS - 8_000)
     group.feeds[TABLE].failing = True
     for address in (SECOND, THIRD):
         receive_from(group, address)
--- a/tests/cover/test_keys_at_the_send.py
+++ b/tests/cover/test_keys_at_the_send.py
@@ -12,11 +12,11 @@
     Team,
     key_digest,
 )
-from coursekeel.gateway._adapters import Reading, Versioned
+from coursekeel.gateway._adapters import TableRead, VersionedEntry
 from coursekeel.gateway._live_settings import LiveSettings
-from coursekeel.gateway.site._known_site import KnownSite
+from coursekeel.gateway.site._site_state import SiteState
 from coursekeel.settings import GatewayListen, GatewaySettings
-from tests.common.moments import at
+from tests.common.moments import position_at
 
 SETTINGS = GatewaySettings("g", "z", GatewayListen("h:1"), "s:1")
 MAX_AGE_MS = SETTINGS.timers.max_key_age_ms
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.now_ms = 0.0
         clock = Mock(now_ms=lambda: self.now_ms)
-        self.cached = KnownSite(
+        self.cached = SiteState(
             Mock(), clock, LiveSettings(SETTINGS), EndpointDirectory(), Mock()
         )
         self.version = 0
@@ -37,9 +37,11 @@
     def configure(self, *teams: Team) -> None:
         self.version += 1
         configuration = ForwardingConfiguration(self.version, teams=teams, keyed=True)
-        entry = Versioned(configuration, at(self.version))
-        self.cached.freshness.proved("configuration", self.now_ms)
-        self.cached.take_configuration(Reading((entry,), at(self.version), 0.0, False))
+        entry = VersionedEntry(configuration, position_at(self.version))
+        self.cached.freshness.record_confirmation("configuration", self.now_ms)
+        self.cached.apply_configuration(
+            TableRead((entry,), position_at(self.version), 0.0, False)
+        )
 
     def request(self) -> Mock:
         """A request that was admitted with the current configuration."""
--- a/tests/cover/test_ledger.py
+++ b/tests/cover/test_ledger.py
@@ -1,7 +1,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from coursekeel.answers import EventId, Ledger, OfferKind, digest_of
+from coursekeel.answers import EventId, Ledger, OfferOutcome, digest_of
 
 TOKENS = st.lists(st.integers(0, 2**32 - 1), max_size=30)
 
@@ -21,7 +21,7 @@
         end = data.draw(st.integers(position, len(tokens)))
         texts = [f"<{token}>" for token in tokens[start:end]]
         offer = ledger.offer(start, tokens[start:end], texts)
-        assert offer.kind in (OfferKind.EXTENDED, OfferKind.REPEATED)
+        assert offer.kind in (OfferOutcome.EXTENDED, OfferOutcome.REPEATED)
         position = ledger.next_position
     assert ledger.tokens_from(0) == tokens
     assert ledger.text_between(0, len(tokens)) == "".join(f"<{t}>" for t in tokens)
@@ -32,7 +32,7 @@
 def test_an_offer_after_a_gap_adds_nothing(tokens):
     ledger = ledger_with(tokens)
     offer = ledger.offer(len(tokens) + 1, [1], ["x"])
-    assert offer.kind is OfferKind.GAP
+    assert offer.kind is OfferOutcome.GAP
     assert ledger.tokens_from(0) == tokens
 
 
@@ -42,7 +42,8 @@
     diverging_position = data.draw(st.integers(0, len(tokens) - 1))
     other = [tokens[diverging_position] ^ 1, 5, 6]
     assert (
-        ledger.offer(diverging_position, other, ["", "", ""]).kind is OfferKind.DIVERGED
+        ledger.offer(diverging_position, other, ["", "", ""]).kind
+        is OfferOutcome.DIVERGED
     )
     assert ledger.tokens_from(0) == tokens
 
@@ -51,15 +52,15 @@
 def test_only_an_equal_prefix_matches(tokens, data):
     ledger = ledger_with(tokens)
     position = data.draw(st.integers(0, len(tokens)))
-    assert ledger.agrees_with(position, digest_of(tokens[:position]))
-    assert not ledger.agrees_with(position, digest_of([*tokens[:position], 1]))
-    assert not ledger.agrees_with(len(tokens) + 1, ledger.digest_at(len(tokens)))
+    assert ledger.has_prefix(position, digest_of(tokens[:position]))
+    assert not ledger.has_prefix(position, digest_of([*tokens[:position], 1]))
+    assert not ledger.has_prefix(len(tokens) + 1, ledger.digest_at(len(tokens)))
 
 
 @given(TOKENS, TOKENS)
 def test_a_continued_generation_shares_only_the_prefix(tokens, more):
     former = ledger_with(tokens)
-    latter = former.continued_as("g-2")
+    latter = former.copy_as("g-2")
     latter.offer(len(tokens), more, [""] * len(more))
     assert former.tokens_from(0) == tokens
     assert latter.tokens_from(0) == tokens + more
--- a/tests/cover/test_quarantine_gossip.py
+++ b/tests/cover/test_quarantine_gossip.py
@@ -152,7 +152,7 @@
     assert gossip.received(decode_quarantine(news_data), world.now_ms) == []
     take = QuarantineMessage("g", QuarantineKind.TAKE, "10.9.9.9:1", "d", token=5)
     assert gossip.received(take, world.now_ms) == []
-    offers = gossip.heard_digest("10.9.9.9:1", "another")
+    offers = gossip.receive_digest("10.9.9.9:1", "another")
     assert sum(len(encode_quarantine(offer.message)) for offer in offers) < 200
 
 
--- a/tests/cover/test_recovery_machine.py
+++ b/tests/cover/test_recovery_machine.py
@@ -13,16 +13,16 @@
     Cancelled,
     Complete,
     CopyPlaced,
-    EndpointSilent,
-    Expected,
+    EndpointGranted,
+    EndpointStalled,
+    ExpectedModel,
     FinishArrived,
-    Granted,
     HeadArrived,
     Loss,
     OpenAttempt,
     ReadingResumed,
+    RequestEndpoint,
     RunState,
-    SeekEndpoint,
     Started,
     StreamHead,
     Tick,
@@ -58,10 +58,10 @@
             silence_ms=300,
             races=races,
             deaths_before_stop=1_000,
-            own_stream_tries=own_tries,
+            reread_tries=own_tries,
         )
         self.races = races
-        self.core = AnswerCore("r", Expected("p", "", ""), policy, EventLedger())
+        self.core = AnswerCore("r", ExpectedModel("p", "", ""), policy, EventLedger())
         self.now_ms = 0.0
         self.states: dict[int, AttemptState] = {}
         self.seeking: frozenset[str] | None = None
@@ -72,7 +72,7 @@
     def handle(self, event: object) -> None:
         for action in self.core.handle(event, self.now_ms):
             match action:
-                case SeekEndpoint():
+                case RequestEndpoint():
                     self.seeking = action.excluded
                 case OpenAttempt():
                     self.check_copy(action)
@@ -118,7 +118,7 @@
             return
         endpoint = free[choice % len(free)]
         self.seeking = None
-        self.handle(Granted(endpoint))
+        self.handle(EndpointGranted(endpoint))
 
     @rule(choice=st.integers(0, 3), copy_to=st.sampled_from(ENDPOINTS))
     def place_copy(self, choice: int, copy_to: str) -> None:
@@ -164,7 +164,7 @@
     def stall(self, choice: int) -> None:
         number = self.pick_attempt(choice)
         if number is not None:
-            self.handle(EndpointSilent(self.states[number].open_action.endpoint_id))
+            self.handle(EndpointStalled(self.states[number].open_action.endpoint_id))
 
     @rule(steps=st.integers(1, 10))
     def pass_time(self, steps: int) -> None:
--- a/tests/cover/test_refusals.py
+++ b/tests/cover/test_refusals.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from coursekeel.gateway.admission._refusals import NOT_YET_RETRY_MS, refusal_retry_ms
+from coursekeel.gateway.admission._refusals import NOT_READY_RETRY_MS, refusal_retry_ms
 
 
 @pytest.mark.parametrize("code", ["no_configuration", "no_endpoint"])
@@ -17,8 +17,8 @@
 
 
 def test_a_caller_with_little_time_gets_a_short_retry_after():
-    assert refusal_retry_ms("no_endpoint", 50, 1_000, Random(1)) == NOT_YET_RETRY_MS
-    assert refusal_retry_ms("no_endpoint", 50, None, Random(1)) == NOT_YET_RETRY_MS
+    assert refusal_retry_ms("no_endpoint", 50, 1_000, Random(1)) == NOT_READY_RETRY_MS
+    assert refusal_retry_ms("no_endpoint", 50, None, Random(1)) == NOT_READY_RETRY_MS
 
 
 def test_the_usual_retry_after_stays_if_another_instance_can_serve():
--- a/tests/cover/test_rollout_fleet.py
+++ b/tests/cover/test_rollout_fleet.py
@@ -1,8 +1,8 @@
 """A fleet's roll-out keeps its bounds while messages are lost and instances fail.
 
-Each instance is a `CanaryTask` on one simulated clock; datagrams are lost at random, an
-instance freezes, the leading conductor is killed, one starts midway, and the store may
-be down. Requests are sent to random instances.
+Each instance is a `RolloutTask` on one simulated clock; datagrams are lost at random,
+an instance freezes, the leading conductor is killed, one starts midway, and the store
+may be down. Requests are sent to random instances.
 """
 
 import math
@@ -25,8 +25,8 @@
     decode_rollout,
 )
 from coursekeel.forwarding import EndpointRecord
-from coursekeel.gateway.rollouts._rollout_task import CanaryTask, report_period_ms
-from tests.common.moments import at
+from coursekeel.gateway.rollouts._rollout_task import RolloutTask, report_period_ms
+from tests.common.moments import position_at
 
 BOUNDS = CanaryBounds()
 STEP_MS = 50
@@ -37,7 +37,7 @@
     """The stored roll-out record, written by compare-and-set."""
 
     def __init__(self) -> None:
-        self.record = RolloutRecord(None, "", at(0))
+        self.record = RolloutRecord(None, "", position_at(0))
         self.is_down = False
         self.states: list[RolloutState] = []
 
@@ -49,7 +49,7 @@
             return RecordFailed("store is down")
         if before != self.record:
             return RecordConflict()
-        moment = at(self.record.moment.version + 10)
+        moment = position_at(self.record.moment.version + 10)
         self.record = RolloutRecord(state, order.target, moment)
         self.states.append(state)
         return self.record
@@ -65,12 +65,12 @@
         clock = Mock(now_ms=lambda: fleet.now_ms)
         self.rollouts = Rollouts(BOUNDS, Random(fleet.random.random()), fleet.period_ms)
         swim = Mock(own=name, group="g")
-        swim.chosen = fleet.chosen
+        swim.members_for = fleet.members_for
         swim.alive = lambda: fleet.members()
         swim.others = lambda: [member for member in fleet.members() if member != name]
         self.site = Mock(update_routing=self.split)
         router = Mock(load=lambda _: None)
-        self.task = CanaryTask(
+        self.task = RolloutTask(
             fleet.reactor,
             clock,
             swim,
@@ -91,10 +91,12 @@
         return self.alive and self.awake
 
     def split(self) -> None:
-        self.rollouts.split({POOL: list(ENDPOINTS)}, lambda e: (ENDPOINTS[e], at(1)))
+        self.rollouts.split(
+            {POOL: list(ENDPOINTS)}, lambda e: (ENDPOINTS[e], position_at(1))
+        )
 
     def order(self, moment) -> None:
-        self.rollouts.ordered(
+        self.rollouts.set_order(
             RolloutOrder(POOL, TARGET, self.fleet.duration_ms),
             moment,
             self.fleet.now_ms,
@@ -110,7 +112,7 @@
         new = pool != POOL or closing
         endpoint = fleet.random.choice(NEW if new else OLD)
         failed = fleet.random.random() < (fleet.failure_share if new and bad else 0.02)
-        self.rollouts.ended(POOL, "r", endpoint, failed, 100.0, now_ms)
+        self.rollouts.count_end(POOL, "r", endpoint, failed, 100.0, now_ms)
         fleet.bad_ms += [now_ms] if new and bad and failed else []
         return new
 
@@ -161,7 +163,7 @@
     def members(self) -> list[str]:
         return [name for name, each in self.instances.items() if each.alive]
 
-    def chosen(self, _name: str, count: int) -> list[str]:
+    def members_for(self, _name: str, count: int) -> list[str]:
         return sorted(self.members())[:count]
 
     def send(self, sender: str, to: str, data: bytes) -> None:
@@ -182,7 +184,9 @@
 
     def order(self) -> None:
         for each in self.instances.values():
-            self.reactor.callLater(self.random.uniform(0, 1), each.order, at(1))
+            self.reactor.callLater(
+                self.random.uniform(0, 1), each.order, position_at(1)
+            )
 
     def run(self, for_ms: float, rate_s: float, bad: bool = True) -> None:
         for _ in range(int(for_ms / STEP_MS)):
@@ -229,7 +233,7 @@
     fleet.run(1_000, rate_s=100)
     fleet.instances["i0"].alive = False
     started = fleet.instances["i0b"] = Instance(fleet, "i0b")
-    started.order(at(1))
+    started.order(position_at(1))
     fleet.run(2_000, rate_s=100)
     fleet.instances["i1"].awake = True
     fleet.run(9_000 if size < 380 else 4_000, rate_s=100)
--- a/tests/cover/test_routing.py
+++ b/tests/cover/test_routing.py
@@ -32,7 +32,7 @@
     )
     router.endpoints.configure({"m": list(endpoints)}, dict.fromkeys(endpoints, "z"))
     for name in endpoints:
-        router.reported(LoadReport(name, 0, 0, slots, 0.0), 0.0)
+        router.apply_report(LoadReport(name, 0, 0, slots, 0.0), 0.0)
     return router
 
 
@@ -45,7 +45,7 @@
     numbers = [granted_numbers(router.place(make_request(n), 0.0)) for n in range(6)]
     assert sum(map(len, numbers)) == 4
     assert router.waiting == 2
-    assert granted_numbers(router.released("x", 10.0, 1.0)) == [4]
+    assert granted_numbers(router.release("x", 10.0, 1.0)) == [4]
 
 
 def test_an_endpoint_that_may_not_take_work_gets_no_grant():
@@ -60,9 +60,9 @@
     router.place(make_request(2), 0.0)
     router.place(make_request(3, continuing=True, held_tokens=5), 0.0)
     router.place(make_request(4, continuing=True, held_tokens=9), 0.0)
-    assert granted_numbers(router.released("x", 1.0, 1.0)) == [4]
-    assert granted_numbers(router.released("x", 1.0, 2.0)) == [3]
-    assert granted_numbers(router.released("x", 1.0, 3.0)) == [2]
+    assert granted_numbers(router.release("x", 1.0, 1.0)) == [4]
+    assert granted_numbers(router.release("x", 1.0, 2.0)) == [3]
+    assert granted_numbers(router.release("x", 1.0, 3.0)) == [2]
 
 
 def test_an_excluded_endpoint_is_used_after_the_wait_if_no_other_has_room():
@@ -86,7 +86,7 @@
     for n in range(20):
         router.place(make_request(n), 0.0)
     for n in range(6):
-        router.released("x", 100.0, 100.0 * (n + 1))
+        router.release("x", 100.0, 100.0 * (n + 1))
     (refusal,) = router.place(make_request(90, deadline_ms=700.0), 600.0)
     assert isinstance(refusal, Refuse)
     assert refusal.code == "too_late"
@@ -97,7 +97,7 @@
     router = make_router(endpoints=("x",))
     for n in range(5):
         router.place(make_request(n), n * 60_000.0)
-        router.released("x", 10.0, n * 60_000.0 + 10)
+        router.release("x", 10.0, n * 60_000.0 + 10)
     now_ms = 1e6
     decisions = [
         router.place(make_request(n, deadline_ms=now_ms + 500), now_ms) for n in (7, 8)
--- a/tests/cover/test_shared_budget.py
+++ b/tests/cover/test_shared_budget.py
@@ -13,9 +13,9 @@
     instance_budget,
 )
 from coursekeel.routing import WindowBudget
-from coursekeel.settings import RetryShare
+from coursekeel.settings import RetryBudgetSettings
 
-SHARE = RetryShare(ratio=0.8, slack=150, window_s=10)
+SHARE = RetryBudgetSettings(ratio=0.8, slack=150, window_s=10)
 STEP_MS = 250
 STEPS_A_WINDOW = 40
 
--- a/tests/cover/test_shared_source.py
+++ b/tests/cover/test_shared_source.py
@@ -14,17 +14,17 @@
     Removed,
     SourceFailed,
     UnreadableEntry,
-    Versioned,
+    VersionedEntry,
 )
 from coursekeel.gateway.members._member_reader import MemberFailed
 from coursekeel.gateway.members._reading_codec import (
-    RelayedReading,
-    UnreadableReading,
-    decode_reading,
-    encode_reading,
+    RelayedTableRead,
+    UnreadableTableRead,
+    decode_table_read,
+    encode_table_read,
 )
 from tests.common.group_world import STEP_MS, TIMERS, Instance, World
-from tests.common.moments import at
+from tests.common.moments import position_at
 
 ZONES = ["a", "a", "a", "b", "c"]
 
@@ -182,8 +182,8 @@
     world.refused = set(world.instances)
     world.run(1_000)
     restarted = world.instances["i2"] = Instance(world, "i2", "a")
-    assert restarted.source.swim.holder("a") == "i2"
-    restarted.source.swim.freshest = lambda _table: ("", -math.inf)
+    assert restarted.source.swim.store_reader("a") == "i2"
+    restarted.source.swim.latest_confirmation = lambda _table: ("", -math.inf)
     restarted.task.start()
     world.run(2_500)
     assert restarted.site.routes is not None
@@ -242,7 +242,7 @@
     return overstated_ms[:1]
 
 
-def _without_age(_self, reply: RelayedReading) -> RelayedReading:
+def _without_age(_self, reply: RelayedTableRead) -> RelayedTableRead:
     return evolve(reply, age_ms=0.0, failing=False)
 
 
@@ -259,18 +259,20 @@
     ],
 )
 def test_an_unreadable_response_names_the_fault(body):
-    decoded = decode_reading(body)
-    assert isinstance(decoded, UnreadableReading)
+    decoded = decode_table_read(body)
+    assert isinstance(decoded, UnreadableTableRead)
     assert decoded.fault
 
 
 def test_entries_survive_encoding_and_decoding():
     entries = (
-        Versioned(Removed("e1"), at(5)),
-        Versioned(UnreadableEntry("e2", "slots: got 'x', expected int"), at(6)),
+        VersionedEntry(Removed("e1"), position_at(5)),
+        VersionedEntry(
+            UnreadableEntry("e2", "slots: got 'x', expected int"), position_at(6)
+        ),
     )
-    reading = RelayedReading(at(7, 2), False, 1.5, 2.0, True, entries)
-    assert decode_reading(encode_reading(reading)) == reading
+    table_read = RelayedTableRead(position_at(7, 2), False, 1.5, 2.0, True, entries)
+    assert decode_table_read(encode_table_read(table_read)) == table_read
 
 
 class GroupMachine(RuleBasedStateMachine):
--- a/tests/cover/test_silence_doubt.py
+++ b/tests/cover/test_silence_doubt.py
@@ -3,7 +3,7 @@
 from unittest.mock import Mock
 
 from coursekeel.gateway._adapters import EndpointReport
-from coursekeel.gateway.endpoints._lived_silences import LivedSilences
+from coursekeel.gateway.endpoints._lived_silences import StallHistory
 from coursekeel.gateway.streams._silence_doubt import StallCheck
 
 LISTED = EndpointReport(3, 0, runs=frozenset({"r1"}))
@@ -13,12 +13,12 @@
 class StalledStream:
     """One stream whose runs stall; the test answers the report requests."""
 
-    def __init__(self, silences: LivedSilences | None = None) -> None:
+    def __init__(self, silences: StallHistory | None = None) -> None:
         self.now_ms = 0.0
         self.report_requests: list = []
         self.lost_at: list[str] = []
         self.may_repeat = True
-        self.silences = silences or LivedSilences()
+        self.silences = silences or StallHistory()
         reports = Mock(
             request_report=lambda endpoint_id, on_report: self.report_requests.append(
                 (endpoint_id, on_report)
@@ -44,7 +44,7 @@
 
 
 def busy_stream() -> StalledStream:
-    silences = LivedSilences()
+    silences = StallHistory()
     silences.record_alive("p", 0.0)
     return StalledStream(silences)
 
--- a/tests/cover/test_slowdown_machine.py
+++ b/tests/cover/test_slowdown_machine.py
@@ -8,14 +8,14 @@
 from coursekeel.forwarding import EndpointDirectory, EndpointRecord
 from coursekeel.gateway._retry_budgets import instance_budget
 from coursekeel.routing import Grant, PlacementRequest, Refuse, Router
-from coursekeel.settings import RetryShare
-from tests.common.moments import at
+from coursekeel.settings import RetryBudgetSettings
+from tests.common.moments import position_at
 
 POOL = "p"
 INSTANCES = 9
 ENDPOINTS = 6
 SLOTS = 4
-SHARE = RetryShare(ratio=0.8, slack=150, window_s=10)
+SHARE = RetryBudgetSettings(ratio=0.8, slack=150, window_s=10)
 WINDOW_MS = SHARE.window_s * 1_000
 
 
@@ -35,7 +35,7 @@
         for number in range(ENDPOINTS):
             name, zone = f"e{number}", f"z{number % 3}"
             record = EndpointRecord(name, POOL, "127.0.0.1", number + 1, zone, SLOTS)
-            self.directory.put(record, at(1))
+            self.directory.put(record, position_at(1))
         self.router = Router("z0", self.random, self.directory.may_take)
         self.router.endpoints.configure(
             self.directory.pools(), self.directory.zones(), self.directory.slots()
@@ -79,12 +79,12 @@
         for _ in range(min(count, len(self.running))):
             endpoint_id = self.running.pop(self.random.randrange(len(self.running)))
             self.apply_decisions(
-                self.router.released(endpoint_id, 500.0, self.now_ms, failed)
+                self.router.release(endpoint_id, 500.0, self.now_ms, failed)
             )
 
     @rule(number=st.integers(0, ENDPOINTS - 1))
     def lose_endpoint(self, number: int) -> None:
-        self.directory.failed(f"e{number}", self.now_ms)
+        self.directory.eject(f"e{number}", self.now_ms)
         self.router.endpoints.lost(POOL, f"e{number}", self.now_ms)
 
     @rule()
@@ -94,7 +94,7 @@
 
     @rule(number=st.integers(0, ENDPOINTS - 1))
     def refuse_at_endpoint(self, number: int) -> None:
-        self.router.turned_away(f"e{number}", self.now_ms)
+        self.router.record_refusal(f"e{number}", self.now_ms)
 
     @rule(wait_ms=st.integers(10, 4_000))
     def advance_time(self, wait_ms: int) -> None:
--- a/tests/cover/test_start_hold.py
+++ b/tests/cover/test_start_hold.py
@@ -1,6 +1,6 @@
 """Requests before the first configuration wait for it, until a first read fails."""
 
-from coursekeel.gateway.admission._start_hold import FirstReadings, StartHold
+from coursekeel.gateway.admission._start_hold import FirstReads, StartHold
 
 
 def hold_requests(hold: StartHold, count: int) -> tuple[list[int], list[int]]:
@@ -16,7 +16,7 @@
     assert len(hold) == 3
     hold.known()
     assert resumed == [0, 1, 2]
-    assert hold.state is FirstReadings.KNOWN
+    assert hold.state is FirstReads.KNOWN
     assert len(hold) == 0
 
 
@@ -25,14 +25,14 @@
     _, resumed = hold_requests(hold, 2)
     hold.failed()
     assert resumed == [0, 1]
-    assert hold.state is FirstReadings.FAILED
+    assert hold.state is FirstReads.FAILED
 
 
 def test_a_failure_after_the_first_reads_is_ignored():
     hold = StartHold()
     hold.known()
     hold.failed()
-    assert hold.state is FirstReadings.KNOWN
+    assert hold.state is FirstReads.KNOWN
 
 
 def test_a_released_request_resumes_alone_and_once():
--- a/tests/cover/test_stop_window.py
+++ b/tests/cover/test_stop_window.py
@@ -10,11 +10,11 @@
     RouteKind,
     RouteTable,
 )
-from coursekeel.gateway.admission._admission import Admission, Arrival, admit
+from coursekeel.gateway.admission._admission import AdmissionState, RequestKey, admit
 from coursekeel.gateway.admission._stop_window import StopWindow
-from coursekeel.gateway.admission._stream_lengths import StreamLengths
+from coursekeel.gateway.admission._stream_lengths import StreamDurations
 
-WINDOW = StopWindow(started_ms=1_000.0, settled_ms=3_600.0, last_ms=8_500.0)
+WINDOW = StopWindow(started_ms=1_000.0, balancer_settled_ms=3_600.0, last_ms=8_500.0)
 CALL_ROUTE = Route(
     "r", "h", "/r/", RouteKind.SINGLE, (PoolShare("p"),), timeout_ms=800, target_ms=300
 )
@@ -57,7 +57,7 @@
 
 
 def test_stream_durations_are_estimated_by_route():
-    lengths = StreamLengths()
+    lengths = StreamDurations()
     assert lengths.upper_estimate_ms("a") is None
     for took_ms in [6_000, 7_000] * 30:
         lengths.stream_finished("a", took_ms)
@@ -67,13 +67,13 @@
 
 @pytest.mark.parametrize("alone, least_ms", [(False, 50), (True, 2_600)])
 def test_a_stream_refused_by_the_only_instance_waits_for_the_balancer(alone, least_ms):
-    lengths = StreamLengths()
+    lengths = StreamDurations()
     lengths.stream_finished("r", 9_000)
     route = evolve(CALL_ROUTE, kind=RouteKind.RESUMABLE, anonymous=True)
     routes = RouteTable(ForwardingConfiguration(routes=(route,)))
-    state = Admission(
+    state = AdmissionState(
         routes, 0.0, 1e9, 1e9, 1, 9, WINDOW, WINDOW.started_ms, lengths, alone
     )
-    refusal = admit(Arrival("h", "/r/x", ""), state)
+    refusal = admit(RequestKey("h", "/r/x", ""), state)
     assert (refusal.status, refusal.code) == (503, "stopping")
     assert refusal.retry_after_ms == least_ms
--- a/tests/cover/test_stream_placement.py
+++ b/tests/cover/test_stream_placement.py
@@ -7,7 +7,7 @@
 from attrs import define, evolve, field
 from twisted.internet.task import Clock as FakeReactor
 
-from coursekeel.answers import Granted
+from coursekeel.answers import EndpointGranted
 from coursekeel.fetch import Ending, ExchangeHead, ExchangeSink, OwnLink
 from coursekeel.forwarding import (
     EndpointDirectory,
@@ -27,16 +27,16 @@
 from coursekeel.gateway._retry_budgets import RetryBudgets
 from coursekeel.gateway.endpoints._endpoint_client import EndpointClient
 from coursekeel.gateway.endpoints._endpoint_health import EndpointHealth
-from coursekeel.gateway.site._known_site import KnownSite
+from coursekeel.gateway.site._site_state import SiteState
 from coursekeel.gateway.streams._stream_task import StreamTask
-from coursekeel.gateway.streams._successors import Successors
+from coursekeel.gateway.streams._successors import SuccessorLookup
 from coursekeel.gateway.whole._whole_task import WholeAnswerTask
 from coursekeel.quarantine import Quarantine, SuspectRecord
 from coursekeel.routing import Router
 from coursekeel.runtime import RoutingTask
-from coursekeel.settings import GatewayListen, GatewaySettings, RetryShare
+from coursekeel.settings import GatewayListen, GatewaySettings, RetryBudgetSettings
 from coursekeel.suspects import QuarantineGate
-from tests.common.moments import at
+from tests.common.moments import position_at
 
 POOL = "engines"
 ROUTE = Route(
@@ -65,7 +65,7 @@
 
 
 @define(eq=False)
-class ScriptedKnownSite(KnownSite):
+class ScriptedKnownSite(SiteState):
     """Accepts every key while ``is_fresh``."""
 
     is_fresh: bool = True
@@ -85,7 +85,7 @@
         for number in range(3):
             name, zone = f"e{number}", f"zone-{number}"
             record = EndpointRecord(name, POOL, "127.0.0.1", number + 1, zone, 8)
-            self.directory.put(record, at(1))
+            self.directory.put(record, position_at(1))
         self.router = Router("zone-0", Random(1), self.directory.may_take)
         self.router.endpoints.configure(
             self.directory.pools(), self.directory.zones(), self.directory.slots()
@@ -96,7 +96,7 @@
                 "zone-0",
                 GatewayListen("127.0.0.1:0"),
                 "127.0.0.1:1",
-                retries=RetryShare(0.0, slack),
+                retries=RetryBudgetSettings(0.0, slack),
             )
         )
         routing = RoutingTask(self.reactor, self.clock, self.router)
@@ -123,7 +123,7 @@
             self.crashes,
         )
         self.reports = Mock()
-        self.successors = Successors(self.context, self.reports)
+        self.successors = SuccessorLookup(self.context, self.reports)
         self.reports.request_reports = lambda endpoint_ids, on_done: on_done()
         self.cached_at: frozenset[str] = frozenset()
         self.reports.find_cached_prompt = lambda endpoint_ids, prompt_key, on_done: (
@@ -211,7 +211,7 @@
 def test_a_started_stream_resumes_after_its_key_is_revoked():
     """A crash of its endpoint must not cut a stream that would go on without it."""
     harness = StreamHarness()
-    harness.known_site = KnownSite(
+    harness.known_site = SiteState(
         harness.reactor,
         harness.clock,
         harness.context.settings,
@@ -222,7 +222,7 @@
     team = Team("team-1", (key_digest("key"),))
     limits = ForwardingConfiguration(1, teams=(team,), keyed=True)
     harness.known_site.routes = RouteTable(limits)
-    harness.known_site.freshness.proved("configuration", 0.0)
+    harness.known_site.freshness.record_confirmation("configuration", 0.0)
     harness.start(copies=True, team=team)
     send_first_event(harness, harness.client.sinks[0])
     harness.known_site.routes = RouteTable(evolve(limits, teams=()))
@@ -261,9 +261,9 @@
     before = harness.open_runs()
     harness.reports.request_reports = Mock()
     task.start()
-    harness.directory.remove("e1", at(2))
-    harness.router.sent_to_copy("e1")
-    task.tell(Granted("e1"))
+    harness.directory.remove("e1", position_at(2))
+    harness.router.count_run_at_copy("e1")
+    task.handle_event(EndpointGranted("e1"))
     assert harness.open_runs() == before
 
 
@@ -288,7 +288,7 @@
     """The endpoint would stop during the resumed run."""
     harness.start(copies=True)
     send_first_event(harness, harness.client.sinks[0])
-    harness.directory.put(evolve(_copy_endpoint(harness), leaving=True), at(2))
+    harness.directory.put(evolve(_copy_endpoint(harness), leaving=True), position_at(2))
     harness.client.sinks[0].ended(Ending.CUT, "reset")
     assert not harness.client.sent[1].copy_from
     assert (
@@ -303,9 +303,9 @@
     harness.start(copies=True)
     send_first_event(harness, harness.client.sinks[0])
     copy_endpoint = _copy_endpoint(harness)
-    harness.directory.remove(copy_endpoint.endpoint_id, at(2))
+    harness.directory.remove(copy_endpoint.endpoint_id, position_at(2))
     harness.directory.put(
-        evolve(copy_endpoint, endpoint_id="other", pool="plain"), at(3)
+        evolve(copy_endpoint, endpoint_id="other", pool="plain"), position_at(3)
     )
     harness.client.sinks[0].ended(Ending.CUT, "reset")
     assert {send.endpoint.pool for send in harness.client.sent} == {POOL}
@@ -339,17 +339,17 @@
 @pytest.mark.parametrize("change", ["belief_old", "leaving", "gone", "too_late"])
 def test_a_change_while_connecting_withholds_the_request(harness, start, change):
     """This process may be paused between the check and the send."""
-    sink, due_ms = start(harness)
+    sink, deadline_ms = start(harness)
     endpoint = harness.client.sent[0].endpoint
     match change:
         case "belief_old":
             harness.known_site.is_fresh = False
         case "leaving":
-            harness.directory.put(evolve(endpoint, leaving=True), at(2))
+            harness.directory.put(evolve(endpoint, leaving=True), position_at(2))
         case "gone":
-            harness.directory.remove(endpoint.endpoint_id, at(2))
+            harness.directory.remove(endpoint.endpoint_id, position_at(2))
         case "too_late":
-            harness.clock.now_ms = lambda: due_ms
+            harness.clock.now_ms = lambda: deadline_ms
     assert not sink.may_send()
 
 
@@ -361,7 +361,7 @@
     monkeypatch.setattr(EndpointHealth, "unreachable", unreachable)
     sink, _ = start(harness)
     first = harness.client.sent[0].endpoint
-    harness.directory.put(evolve(first, leaving=True), at(2))
+    harness.directory.put(evolve(first, leaving=True), position_at(2))
     sink.ended(Ending.WITHHELD, "right_lapsed")
     assert len(harness.client.sent) == 2
     assert harness.client.sent[1].endpoint.endpoint_id != first.endpoint_id
@@ -397,7 +397,7 @@
 def test_successes_raise_an_endpoints_limit_again(harness):
     """Otherwise a limit that was lowered by rejections would stay low."""
     for number in range(3):
-        harness.router.turned_away(f"e{number}", 0.0)
+        harness.router.record_refusal(f"e{number}", 0.0)
     before = [harness.router.load(f"e{n}").limit.limit for n in range(3)]
     caller = CallerHeaders("r3", "key", 2_000, None)
     route = evolve(ROUTE, kind=RouteKind.REPEATABLE, timeout_ms=2_000)
--- a/tests/cover/test_successors.py
+++ b/tests/cover/test_successors.py
@@ -15,7 +15,7 @@
     RouteTable,
 )
 from coursekeel.gateway._adapters import EndpointReport, HeadVerdict
-from tests.common.moments import at
+from tests.common.moments import position_at
 from tests.cover.test_stream_placement import POOL, StreamHarness, send_first_event
 
 OLD = EndpointRecord("old", POOL, "127.0.0.1", 9, "zone-1", 8)
@@ -23,7 +23,7 @@
 
 def make_directory() -> EndpointDirectory:
     directory = EndpointDirectory()
-    directory.put(OLD, at(5))
+    directory.put(OLD, position_at(5))
     return directory
 
 
@@ -38,26 +38,26 @@
 
 def test_a_removed_endpoint_is_not_adopted():
     directory = make_directory()
-    directory.put(evolve(OLD, endpoint_id="new"), at(6))
-    directory.remove("new", at(7))
+    directory.put(evolve(OLD, endpoint_id="new"), position_at(6))
+    directory.remove("new", position_at(7))
     assert directory.adopt("old", "new") is None
 
 
 def test_an_endpoint_listed_as_leaving_stays_leaving():
     directory = make_directory()
-    directory.put(evolve(OLD, endpoint_id="new", leaving=True), at(6))
+    directory.put(evolve(OLD, endpoint_id="new", leaving=True), position_at(6))
     assert directory.adopt("old", "new").leaving
     assert not directory.may_take("new", 0.0)
 
 
 def test_only_listed_successors_are_kept_when_the_store_returns():
     directory = make_directory()
-    directory.put(evolve(OLD, endpoint_id="old2", port=10), at(5))
+    directory.put(evolve(OLD, endpoint_id="old2", port=10), position_at(5))
     directory.adopt("old", "new")
     directory.adopt("old2", "new2")
-    directory.store_returned()
-    directory.put(evolve(OLD, endpoint_id="new"), at(8))
-    assert directory.settle() == ["new2"]
+    directory.begin_recovery()
+    directory.put(evolve(OLD, endpoint_id="new"), position_at(8))
+    assert directory.remove_missing() == ["new2"]
     assert directory.may_take("new", 0.0)
     assert directory.record("new2") is None
 
@@ -68,7 +68,9 @@
     assert harness.directory.may_take("e1-b", 0.0)
     harness.reactor.advance(6.1)
     assert harness.directory.may_take("e1-b", 0.0), "no list was confirmed since"
-    harness.known_site.freshness.proved("endpoints", harness.clock.now_ms())
+    harness.known_site.freshness.record_confirmation(
+        "endpoints", harness.clock.now_ms()
+    )
     harness.reactor.advance(6.1)
     assert harness.directory.record("e1-b") is None
 
--- a/tests/cover/test_suspect_keeper.py
+++ b/tests/cover/test_suspect_keeper.py
@@ -8,7 +8,7 @@
 
 from coursekeel.quarantine import Barred, Quarantine, Sign, Trial
 from coursekeel.suspects import (
-    KeptRows,
+    StoredRows,
     SuspectKeeper,
     SuspectTable,
     TableFailed,
@@ -34,7 +34,7 @@
         self.calls += 1
         if self.away:
             return TableFailed("away")
-        return KeptRows(dict(self.rows), self.store_ms)
+        return StoredRows(dict(self.rows), self.store_ms)
 
     async def write(self, kept, gone, timeout_ms):
         self.calls += 1
@@ -68,7 +68,7 @@
     def bar(self, fingerprint: str = "f") -> None:
         for number in range(3):
             at_ms = self.now_ms()
-            struck = self.quarantine.strike(
+            struck = self.quarantine.add_strike(
                 fingerprint, f"e{number}", Sign.BEGAN, at_ms
             )
             self.apply(struck)
@@ -102,8 +102,10 @@
 def test_a_record_that_bars_nothing_is_not_written(table):
     running = KeeperInstance(table)
     calls = table.calls
-    running.apply(running.quarantine.strike("f", "e0", Sign.BEGAN, running.now_ms()))
-    running.apply(running.quarantine.proved_sound("f", running.now_ms()))
+    running.apply(
+        running.quarantine.add_strike("f", "e0", Sign.BEGAN, running.now_ms())
+    )
+    running.apply(running.quarantine.clear("f", running.now_ms()))
     table.reactor.pump([0.5] * 10)
     assert table.calls == calls
 
@@ -112,7 +114,7 @@
     running = KeeperInstance(table)
     running.bar()
     assert list(table.rows) == ["f"]
-    running.apply(running.quarantine.proved_sound("f", running.now_ms()))
+    running.apply(running.quarantine.clear("f", running.now_ms()))
     table.reactor.pump([0.5] * 3)
     assert table.rows == {}
 
--- a/tests/cover/test_swim.py
+++ b/tests/cover/test_swim.py
@@ -95,7 +95,7 @@
     network = Network(12)
     network.run(6_000)
     assert network.converged()
-    holders = {m.holder("a") for m in network.members.values()}
+    holders = {m.store_reader("a") for m in network.members.values()}
     assert len(holders) == 1
 
 
@@ -164,8 +164,8 @@
     minority = network.members[network.addresses[0]]
     majority = network.members[network.addresses[7]]
     assert len(minority.alive()) == 3 and len(majority.alive()) == 5
-    assert not minority.in_touch(network.now_ms)
-    assert majority.in_touch(network.now_ms)
+    assert not minority.reaches_majority(network.now_ms)
+    assert majority.reaches_majority(network.now_ms)
     assert minority.known == majority.known == 8
     network.isolated = set()
     network.run(15_000)
@@ -192,10 +192,10 @@
     network.run(6_000)
     confirmed = network.addresses[5]
     confirmed_ms = network.now_ms
-    network.members[confirmed].proved("t", confirmed_ms)
+    network.members[confirmed].record_confirmation("t", confirmed_ms)
     network.run(6_000)
     for member in network.members.values():
-        address, estimated_ms = member.freshest("t")
+        address, estimated_ms = member.latest_confirmation("t")
         assert address == confirmed
         assert abs(estimated_ms - confirmed_ms) < 2_000
 
--- a/tests/nocover/test_copies.py
+++ b/tests/nocover/test_copies.py
@@ -8,7 +8,7 @@
     dossier,
     reading,
     running_site,
-    until_holding,
+    wait_for_tokens,
 )
 
 PROMPT_WORDS = 4_000
@@ -36,7 +36,7 @@
 def test_an_answer_resumes_from_a_copy_without_prefilling_its_prompt_again(site):
     caller = dossier(150, words=PROMPT_WORDS)
     thread = reading(caller, site.entries["entry-1"].port)
-    until_holding(caller, 20)
+    wait_for_tokens(caller, 20)
     killed = busy_engine(site)
     wait_until(lambda: copied_tokens(site), "a copy stands")
     others = [name for name in site.engines if name != killed]
--- a/tests/nocover/test_crashing_requests.py
+++ b/tests/nocover/test_crashing_requests.py
@@ -19,7 +19,7 @@
     dossier,
     reading,
     running_site,
-    until_holding,
+    wait_for_tokens,
 )
 
 CRASHING_PROMPT = "this ends engines"
@@ -172,7 +172,7 @@
     caller = dossier(400)
     thread = reading(caller, site.entries["entry-1"].port)
     for held in (120, 240, 360):
-        until_holding(caller, held)
+        wait_for_tokens(caller, held)
         site.processes[busy_engine(site)].kill()
     thread.join(20)
     check(caller)
--- a/tests/nocover/test_engine_faults.py
+++ b/tests/nocover/test_engine_faults.py
@@ -10,7 +10,7 @@
     dossier,
     reading,
     running_site,
-    until_holding,
+    wait_for_tokens,
 )
 
 
@@ -23,7 +23,7 @@
 def test_an_answer_continues_when_its_engine_is_killed(site):
     caller = dossier(120)
     thread = reading(caller, site.entries["entry-1"].port)
-    until_holding(caller, 20)
+    wait_for_tokens(caller, 20)
     site.processes[busy_engine(site)].kill()
     thread.join(30)
     assert caller.whole, (caller.error, caller.events, len(caller.tokens))
@@ -32,10 +32,10 @@
 def test_an_answer_continues_when_its_engine_freezes_and_resumes(site):
     caller = dossier(150)
     thread = reading(caller, site.entries["entry-1"].port)
-    until_holding(caller, 20)
+    wait_for_tokens(caller, 20)
     frozen = site.processes[busy_engine(site)]
     frozen.signal(signal.SIGSTOP)
-    until_holding(caller, 60)
+    wait_for_tokens(caller, 60)
     frozen.signal(signal.SIGCONT)
     thread.join(30)
     assert caller.whole, (caller.error, caller.events, len(caller.tokens))
@@ -45,7 +45,7 @@
     before = generated_tokens(site)
     caller = dossier(100)
     thread = reading(caller, site.entries["entry-1"].port)
-    until_holding(caller, 20)
+    wait_for_tokens(caller, 20)
     site.engines[busy_engine(site)].fault(cut_all=True)
     thread.join(30)
     assert caller.whole, (caller.error, caller.events, len(caller.tokens))
@@ -99,7 +99,7 @@
 def test_a_leaving_engine_gets_no_new_work_and_keeps_its_runs(site):
     caller = dossier(150)
     thread = reading(caller, site.entries["entry-1"].port)
-    until_holding(caller, 10)
+    wait_for_tokens(caller, 10)
     leaving = busy_engine(site)
     site.engines[leaving].fault(leaving=True)
     entries = site.entries.values()
--- a/tests/nocover/test_entry_faults.py
+++ b/tests/nocover/test_entry_faults.py
@@ -12,12 +12,12 @@
     busy_engine,
     check,
     check_logs,
-    comes_back,
     dossier,
     reading,
+    reconnect_until_finished,
     running_site,
-    until_holding,
-    until_stored,
+    wait_for_tokens,
+    wait_until_stored,
 )
 
 
@@ -31,7 +31,7 @@
     caller, thread = begun(site)
     site.processes["entry-1"].kill()
     thread.join(10)
-    check(comes_back(caller, site.entries["entry-2"].port))
+    check(reconnect_until_finished(caller, site.entries["entry-2"].port))
 
 
 def test_an_answer_survives_entry_and_engine_killed_together(site):
@@ -39,7 +39,7 @@
     site.processes[busy_engine(site)].kill()
     site.processes["entry-1"].kill()
     thread.join(10)
-    check(comes_back(caller, site.entries["entry-2"].port))
+    check(reconnect_until_finished(caller, site.entries["entry-2"].port))
 
 
 def test_an_answer_survives_its_owner_and_its_adopter_killed(site):
@@ -53,7 +53,7 @@
     remaining = "entry-3" if adopter == "entry-2" else "entry-2"
     site.processes[adopter].kill()
     thread.join(10)
-    check(comes_back(caller, site.entries[remaining].port))
+    check(reconnect_until_finished(caller, site.entries[remaining].port))
 
 
 def test_an_owner_that_was_paused_sends_nothing_of_an_adopted_answer(site):
@@ -67,13 +67,13 @@
     other = dossier(300)
     other.request, other.request_id = caller.request, caller.request_id
     other.tokens, other.event_id = list(caller.tokens), caller.event_id
-    check(comes_back(other, site.entries["entry-2"].port))
+    check(reconnect_until_finished(other, site.entries["entry-2"].port))
     received_before = len(caller.tokens)
     site.processes["entry-1"].signal(signal.SIGCONT)
     thread.join(15)
     assert len(received_at_pause) <= received_before == len(caller.tokens)
     assert "moved" in caller.events or "cut" in caller.events
-    check(comes_back(caller, site.entries["entry-1"].port))
+    check(reconnect_until_finished(caller, site.entries["entry-1"].port))
     assert caller.tokens == other.tokens
 
 
@@ -85,7 +85,7 @@
     status, body = entry.ask("POST", "/v1/completions", caller.request, headers=headers)
     assert status == 202, body
     site.processes["entry-1"].kill()
-    check(comes_back(caller, site.entries["entry-3"].port))
+    check(reconnect_until_finished(caller, site.entries["entry-3"].port))
 
 
 def test_a_planned_stop_completes_open_streams(site):
@@ -100,7 +100,7 @@
     caller, thread = begun(site, tokens=200)
     open_caller = dossier(400)
     open_thread = reading(open_caller, site.entries["entry-2"].port)
-    until_holding(open_caller, 10)
+    wait_for_tokens(open_caller, 10)
     site.processes["entry-2"].signal(signal.SIGTERM)
     wait_until(lambda: "event=entry_stopping" in site.log_of("entry-2"), "stopping")
     site.processes["entry-1"].kill()
@@ -112,7 +112,7 @@
     site.launch_entry("entry-3", **FAST)
     site.entry_listening("entry-3")
     site.until_ready_at("entry-3")
-    check(comes_back(caller, site.entries["entry-3"].port))
+    check(reconnect_until_finished(caller, site.entries["entry-3"].port))
 
 
 def test_an_entry_that_never_reached_the_store_can_be_stopped():
@@ -165,7 +165,7 @@
     site.launch_entry("entry-1", **FAST)
     site.entry_listening("entry-1")
     site.until_ready_at("entry-1")
-    check(comes_back(caller, site.entries["entry-1"].port))
+    check(reconnect_until_finished(caller, site.entries["entry-1"].port))
 
 
 def test_the_same_request_at_two_entries_is_one_answer(site):
@@ -186,16 +186,16 @@
     caller = dossier(200)
     caller.request["prompt"] = "first " * 10_000
     thread = reading(caller, site.entries["entry-1"].port)
-    until_stored(caller)
+    wait_until_stored(caller)
     other_caller = dossier(200)
     other_caller.request_id = caller.request_id
     other_caller.request["prompt"] = "second " * 10_000
     other_thread = reading(other_caller, site.entries["entry-2"].port)
-    until_holding(other_caller, 1)
+    wait_for_tokens(other_caller, 1)
     site.processes[busy_engine(site)].kill()
     site.processes["entry-1"].kill()
     thread.join(10)
-    check(comes_back(caller, site.entries["entry-3"].port))
+    check(reconnect_until_finished(caller, site.entries["entry-3"].port))
     other_thread.join(10)
 
 
@@ -205,5 +205,5 @@
         site.processes[busy_engine(site)].kill()
         site.processes["entry-1"].kill()
         thread.join(10)
-        check(comes_back(caller, site.entries["entry-2"].port))
+        check(reconnect_until_finished(caller, site.entries["entry-2"].port))
         assert "restart" not in caller.events
--- a/tests/nocover/test_partitions.py
+++ b/tests/nocover/test_partitions.py
@@ -7,11 +7,11 @@
     FAST,
     GAP_MS,
     check_logs,
-    comes_back,
     dossier,
     reading,
-    until_holding,
-    until_stored,
+    reconnect_until_finished,
+    wait_for_tokens,
+    wait_until_stored,
 )
 
 
@@ -37,26 +37,26 @@
 def test_owner_and_adopter_each_serve_one_complete_answer(site):
     caller = dossier(500)
     thread = reading(caller, site.entries["entry-1"].port)
-    until_stored(caller)
-    until_holding(caller, 20)
+    wait_until_stored(caller)
+    wait_for_tokens(caller, 20)
     site.link.fault(swallows=True)
     wait_until(lambda: lease_has_lapsed(site), "its lease lapsed")
     second_caller = dossier(500)
     second_caller.request, second_caller.request_id = caller.request, caller.request_id
     second_thread = reading(second_caller, site.entries["entry-2"].port, follow=True)
-    until_holding(second_caller, 50)
+    wait_for_tokens(second_caller, 50)
     site.link.fault(swallows=False)
     thread.join(30)
     second_thread.join(30)
     if not second_caller.finished:
-        comes_back(second_caller, site.entries["entry-2"].port)
+        reconnect_until_finished(second_caller, site.entries["entry-2"].port)
     assert second_caller.whole, (
         second_caller.error,
         second_caller.events,
         len(second_caller.tokens),
     )
     if not caller.finished:
-        comes_back(caller, site.entries["entry-1"].port)
+        reconnect_until_finished(caller, site.entries["entry-1"].port)
     assert caller.whole, (caller.error, caller.events, len(caller.tokens))
     assert caller.tokens == second_caller.tokens or "moved" not in caller.events
 
--- a/tests/nocover/test_pauses_on_a_tokens_way.py
+++ b/tests/nocover/test_pauses_on_a_tokens_way.py
@@ -19,13 +19,13 @@
 from tests.common.sites import (
     begun,
     check,
-    comes_back,
     dossier,
     pause_first_entry,
     reading,
+    reconnect_until_finished,
+    second_caller_of,
     three_entries,
-    twin_of,
-    until_holding,
+    wait_for_tokens,
 )
 
 
@@ -39,14 +39,14 @@
     with site_with_pause(point) as site:
         caller, thread = begun(site, tokens=300)
         pause_first_entry(site)
-        other = twin_of(caller)
-        check(comes_back(other, site.entries["entry-2"].port))
+        other = second_caller_of(caller)
+        check(reconnect_until_finished(other, site.entries["entry-2"].port))
         received_before = len(caller.tokens)
         site.processes["entry-1"].signal(signal.SIGCONT)
         thread.join(15)
         assert len(caller.tokens) == received_before
         assert "moved" in caller.events or "cut" in caller.events
-        check(comes_back(caller, site.entries["entry-1"].port))
+        check(reconnect_until_finished(caller, site.entries["entry-1"].port))
         assert caller.tokens == other.tokens
 
 
@@ -54,14 +54,14 @@
 def test_a_relayed_token_is_not_sent_after_a_pause_and_takeover(point):
     with site_with_pause(point) as site:
         caller, thread = begun(site, tokens=300)
-        relayed = twin_of(caller)
+        relayed = second_caller_of(caller)
         relayed_thread = reading(relayed, site.entries["entry-2"].port, follow=True)
-        until_holding(relayed, len(relayed.tokens) + 5)
+        wait_for_tokens(relayed, len(relayed.tokens) + 5)
         pause_first_entry(site)
         former_generation = relayed.event_id.partition(".")[0]
-        other = twin_of(caller)
+        other = second_caller_of(caller)
         other_thread = reading(other, site.entries["entry-3"].port, follow=True)
-        until_holding(other, len(relayed.tokens) + 5)
+        wait_for_tokens(other, len(relayed.tokens) + 5)
         received_before = len(relayed.event_ids)
         site.processes["entry-1"].signal(signal.SIGCONT)
         for reader in (thread, relayed_thread, other_thread):
@@ -95,11 +95,11 @@
         thread = threading.Thread(target=request_answer, daemon=True)
         thread.start()
         pause_first_entry(site)
-        other = twin_of(caller)
-        check(comes_back(other, site.entries["entry-2"].port))
+        other = second_caller_of(caller)
+        check(reconnect_until_finished(other, site.entries["entry-2"].port))
         site.processes["entry-1"].signal(signal.SIGCONT)
         thread.join(15)
         ((status, reply),) = answers
         assert status != 200, reply
-        check(comes_back(caller, entry.port))
+        check(reconnect_until_finished(caller, entry.port))
         assert caller.tokens == other.tokens
--- a/tests/nocover/test_suspended_entry.py
+++ b/tests/nocover/test_suspended_entry.py
@@ -5,10 +5,10 @@
 from tests.common.sites import (
     begun,
     check,
-    comes_back,
     pause_first_entry,
+    reconnect_until_finished,
+    second_caller_of,
     three_entries,
-    twin_of,
 )
 
 
@@ -20,11 +20,11 @@
     with three_entries("tests.common.suspended_entry") as site:
         caller, thread = begun(site, tokens=300)
         pause_first_entry(site)
-        other = twin_of(caller)
-        check(comes_back(other, site.entries["entry-2"].port))
+        other = second_caller_of(caller)
+        check(reconnect_until_finished(other, site.entries["entry-2"].port))
         received_before = len(caller.tokens)
         site.processes["entry-1"].signal(signal.SIGCONT)
         thread.join(15)
         assert len(caller.tokens) == received_before
-        check(comes_back(caller, site.entries["entry-1"].port))
+        check(reconnect_until_finished(caller, site.entries["entry-1"].port))
         assert caller.tokens == other.tokens
--- a/tests/platform/test_malformed_input.py
+++ b/tests/platform/test_malformed_input.py
@@ -17,16 +17,16 @@
 from coursekeel.forwarding import EndpointDirectory, Freshness, StoreClock
 from coursekeel.gateway import (
     EndpointReport,
-    HistoryGone,
-    Reading,
+    HistoryExpired,
     SourceFailed,
     Table,
+    TableRead,
 )
 from coursekeel.gateway._live_settings import LiveSettings
-from coursekeel.gateway.site._follow_task import FollowedTable, FollowTask
-from coursekeel.gateway.site._known_site import KnownSite
+from coursekeel.gateway.site._follow_task import FollowedTable, TableWatchTask
+from coursekeel.gateway.site._site_state import SiteState
 from coursekeel.settings import GatewayListen, GatewaySettings
-from tests.common.moments import at
+from tests.common.moments import position_at
 from tests.platform.site import ROOT, configuration
 
 sys.path.insert(0, str(ROOT / "platform"))
@@ -66,15 +66,15 @@
         self.source._rows._fetcher = Mock(ask=self._ask)
         self.directory = EndpointDirectory()
         clock = Mock(now_ms=lambda: self.reactor.seconds() * 1_000)
-        self.site = KnownSite(
+        self.site = SiteState(
             self.reactor, clock, LiveSettings(SETTINGS), self.directory, Mock()
         )
         take = {
-            Table.CONFIGURATION: self.site.take_configuration,
-            Table.ENDPOINTS: self.site.take_endpoints,
+            Table.CONFIGURATION: self.site.apply_configuration,
+            Table.ENDPOINTS: self.site.apply_endpoints,
         }[table]
         self.take = Mock(side_effect=take)
-        self.task = FollowTask(
+        self.task = TableWatchTask(
             self.reactor,
             clock,
             Mock(random=lambda: 0.5),
@@ -242,7 +242,11 @@
 def outcome_of(body: bytes, table: Table, whole: bool) -> Any:
     source = PlatformSource(FakeReactor(), "127.0.0.1:1")
     source._rows._fetcher = Mock(ask=lambda *_: succeed(HttpReply(200, "json", body)))
-    asked = source.read(table, 1.0) if whole else source.follow(table, at(1), 1.0, 1.0)
+    asked = (
+        source.read(table, 1.0)
+        if whole
+        else source.follow(table, position_at(1), 1.0, 1.0)
+    )
     found: list[Any] = []
     ensureDeferred(asked).addBoth(found.append)
     return found[0]
@@ -266,7 +270,7 @@
 )
 def test_any_page_is_a_reading_or_a_failure(body, table, whole):
     outcome = outcome_of(orjson.dumps(body), table, whole)
-    assert isinstance(outcome, Reading | HistoryGone | SourceFailed)
+    assert isinstance(outcome, TableRead | HistoryExpired | SourceFailed)
 
 
 @given(changes=st.dictionaries(st.sampled_from(sorted(SERVER)), JSON), good=st.text())
@@ -278,8 +282,8 @@
     reading = outcome_of(orjson.dumps(page(rows)), Table.ENDPOINTS, True)
     directory = EndpointDirectory()
     settings = LiveSettings(SETTINGS)
-    site = KnownSite(FakeReactor(), Mock(), settings, directory, Mock())
-    site.take_endpoints(reading)
+    site = SiteState(FakeReactor(), Mock(), settings, directory, Mock())
+    site.apply_endpoints(reading)
     assert directory.record(good) is not None
     # What was taken can be used: routing reads slots, zones and addresses.
     assert all(isinstance(each, int) for each in directory.slots().values())
@@ -299,4 +303,4 @@
         return
     for number in (report.running, report.queued, report.free_tokens):
         assert type(number) is int
-    assert type(report.unread_runs) is int
+    assert type(report.prefill_pending_runs) is int
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -27,9 +27,9 @@
 def test_runs_that_are_not_listed_yet_have_their_prompts_read():
     """Seen in a trial: a run in its prompt is counted, but not listed; taken for
     none, every endpoint looked free and prompts were piled on one."""
-    assert report(runs=[["r1", 10, 4, 5]]).unread_runs == 1 + 2
-    assert report(runs=[]).unread_runs == 1 + 3
-    assert report(runs=[["a", 1, 1, 5]] * 5).unread_runs == 1
+    assert report(runs=[["r1", 10, 4, 5]]).prefill_pending_runs == 1 + 2
+    assert report(runs=[]).prefill_pending_runs == 1 + 3
+    assert report(runs=[["a", 1, 1, 5]] * 5).prefill_pending_runs == 1
 
 
 @pytest.mark.parametrize("body", [b"{", b"[]", b"{}"])
@@ -190,7 +190,7 @@
     ],
 )
 def test_the_prompts_that_a_server_keeps_are_read(body, kept):
-    assert PlatformEndpoints().read_kept(body) == kept
+    assert PlatformEndpoints().read_cached_prompts(body) == kept
 
 
 def test_a_server_that_is_not_the_one_names_itself():
