--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -13,7 +13,7 @@
 sys.path.insert(0, str(ROOT / "platform"))
 
 from _callers import PlatformCallers
-from _configuration import configuration_of, endpoint_of
+from _configuration import convert_configuration, convert_endpoint
 from _endpoints import PlatformEndpoints
 from _forms import ConfigurationForm, ServerForm, Unreadable, decode_json
 
@@ -125,11 +125,11 @@
 
 
 def read_configuration(body):
-    return configuration_of(decode_json(orjson.dumps(body), ConfigurationForm))
+    return convert_configuration(decode_json(orjson.dumps(body), ConfigurationForm))
 
 
 def read_server(body):
-    return endpoint_of("i-1", decode_json(orjson.dumps(body), ServerForm))
+    return convert_endpoint("i-1", decode_json(orjson.dumps(body), ServerForm))
 
 
 def test_a_configuration_is_read_whole():
