--- a/tests/platform/test_golden_headers.py
+++ b/tests/platform/test_golden_headers.py
@@ -1,6 +1,6 @@
-"""What the adapter writes to servers, and reads of callers and answers, is as before.
+"""The adapter's headers, paths and verdicts equal `tests/golden/platform.json`.
 
-`tests/golden/platform.json` was written by the code before its names were reworked.
+Guards the protocol against accidental changes, such as a renamed field.
 """
 
 import sys
@@ -23,9 +23,9 @@
 GOLDEN = orjson.loads((ROOT / "tests" / "golden" / "platform.json").read_bytes())
 
 
-def written() -> dict[str, Any]:
+def adapter_output() -> dict[str, Any]:
     endpoints = PlatformEndpoints()
-    send = gateway.OutboundRequest(
+    outbound = gateway.OutboundRequest(
         EndpointRecord("i-1", "p", "10.0.0.1", 80),
         "r1",
         "team-1",
@@ -36,7 +36,7 @@
         copied_run="r0",
         urgent=True,
     )
-    headers = endpoints.headers([(b"x-kept", b"1"), (b"tenant", b"no")], send)
+    headers = endpoints.headers([(b"x-kept", b"1"), (b"tenant", b"no")], outbound)
     heads = [
         ExchangeHead(status, [(name, b"r1") for name in names])
         for status in (200, 421, 429, 500, 503)
@@ -54,5 +54,5 @@
 
 
 @pytest.mark.parametrize("name", sorted(GOLDEN))
-def test_what_is_written_is_the_same_as_before(name):
-    assert written()[name] == GOLDEN[name]
+def test_adapter_output_equals_the_golden_file(name):
+    assert adapter_output()[name] == GOLDEN[name]
--- a/tests/platform/test_malformed_input.py
+++ b/tests/platform/test_malformed_input.py
@@ -1,4 +1,4 @@
-"""Rows, pages and reports that can't be read cost themselves, and nothing else."""
+"""A malformed row, page or report affects nothing but itself."""
 
 import sys
 from base64 import b64encode
@@ -51,17 +51,17 @@
     return {"table": table, "part": "", "key": key, "ver": version, "value": encoded}
 
 
-def page(rows: Any, version: Any = 5, **more: Any) -> dict[str, Any]:
-    return {"rows": rows, "ver": version, "now_ms": 1_000.0, "more": False} | more
+def page(rows: Any, version: Any = 5, **fields: Any) -> dict[str, Any]:
+    return {"rows": rows, "ver": version, "now_ms": 1_000.0, "more": False} | fields
 
 
-class Followed:
-    """One table followed by the gateway's own task, before scripted answers."""
+class TableFollower:
+    """Runs the gateway's follow task on one table with scripted store responses."""
 
     def __init__(self, table: Table) -> None:
         self.reactor = FakeReactor()
         self.source = PlatformSource(self.reactor, "127.0.0.1:1")
-        self.answers: list[Deferred[Any]] = []
+        self.pending_responses: list[Deferred[Any]] = []
         self.urls: list[str] = []
         self.source._rows._fetcher = Mock(ask=self._ask)
         self.directory = EndpointDirectory()
@@ -69,17 +69,17 @@
         self.site = KnownSite(
             self.reactor, clock, LiveSettings(SETTINGS), self.directory, Mock()
         )
-        take = {
+        apply = {
             Table.CONFIGURATION: self.site.take_configuration,
             Table.ENDPOINTS: self.site.take_endpoints,
         }[table]
-        self.take = Mock(side_effect=take)
+        self.apply = Mock(side_effect=apply)
         self.task = FollowTask(
             self.reactor,
             clock,
             Mock(random=lambda: 0.5),
             self.source,
-            FollowedTable(table, 400.0, 100.0, self.take, Mock()),
+            FollowedTable(table, 400.0, 100.0, self.apply, Mock()),
             1_000.0,
             Freshness(),
             StoreClock(),
@@ -89,18 +89,18 @@
 
     def _ask(self, _method: str, url: str, _timeout_ms: float) -> Any:
         self.urls.append(url)
-        self.answers.append(Deferred())
-        return self.answers[-1]
+        self.pending_responses.append(Deferred())
+        return self.pending_responses[-1]
 
-    def answer(self, body: Any) -> None:
-        """Answer the question that is open, and let the next one be asked."""
-        asked = len(self.answers)
-        self.answers[-1].callback(HttpReply(200, "json", orjson.dumps(body)))
+    def respond(self, body: Any) -> None:
+        """Respond to the pending request and wait for the next one."""
+        sent_requests = len(self.pending_responses)
+        self.pending_responses[-1].callback(HttpReply(200, "json", orjson.dumps(body)))
         for _ in range(20):
             self.reactor.advance(0.1)
-            if len(self.answers) > asked:
+            if len(self.pending_responses) > sent_requests:
                 return
-        raise AssertionError("the table is no longer followed")
+        raise AssertionError("the task sent no further request")
 
 
 BAD_SERVERS = [
@@ -121,15 +121,15 @@
 
 
 @pytest.mark.parametrize("bad", BAD_SERVERS, ids=str)
-def test_a_servers_row_that_cannot_be_read_hides_no_other(bad):
-    """Seen in a trial: after `slots` as a text, leaving servers were still sent to."""
-    followed = Followed(Table.ENDPOINTS)
-    followed.answer(page([row("servers", "bad", bad), row("servers", "good", SERVER)]))
-    assert followed.directory.may_take("good", 0.0)
-    assert followed.directory.record("bad") is None
+def test_a_malformed_server_row_hides_no_other_row(bad):
+    """Otherwise a malformed row keeps leaving servers in use."""
+    follower = TableFollower(Table.ENDPOINTS)
+    follower.respond(page([row("servers", "bad", bad), row("servers", "good", SERVER)]))
+    assert follower.directory.may_take("good", 0.0)
+    assert follower.directory.record("bad") is None
     leaving = row("servers", "good", SERVER | {"state": "draining"}, 6)
-    followed.answer(page([leaving], 6))
-    assert not followed.directory.may_take("good", 0.0)
+    follower.respond(page([leaving], 6))
+    assert not follower.directory.may_take("good", 0.0)
 
 
 @pytest.mark.parametrize(
@@ -147,19 +147,19 @@
     ],
     ids=str,
 )
-def test_a_row_whose_envelope_cannot_be_read_hides_no_other(bad):
-    followed = Followed(Table.ENDPOINTS)
-    followed.answer(page([bad, row("servers", "good", SERVER)]))
-    assert followed.directory.may_take("good", 0.0)
+def test_a_malformed_row_envelope_hides_no_other_row(bad):
+    follower = TableFollower(Table.ENDPOINTS)
+    follower.respond(page([bad, row("servers", "good", SERVER)]))
+    assert follower.directory.may_take("good", 0.0)
 
 
-def test_a_row_that_can_no_longer_be_read_leaves_what_was_known():
-    followed = Followed(Table.ENDPOINTS)
-    followed.answer(page([row("servers", "a", SERVER)]))
-    followed.answer(page([row("servers", "a", SERVER | {"slots": "x"}, 6)], 6))
-    assert followed.directory.may_take("a", 0.0)
-    followed.answer(page([row("servers", "a", SERVER | {"state": "draining"}, 7)], 7))
-    assert not followed.directory.may_take("a", 0.0)
+def test_a_malformed_update_keeps_the_previous_server_record():
+    follower = TableFollower(Table.ENDPOINTS)
+    follower.respond(page([row("servers", "a", SERVER)]))
+    follower.respond(page([row("servers", "a", SERVER | {"slots": "x"}, 6)], 6))
+    assert follower.directory.may_take("a", 0.0)
+    follower.respond(page([row("servers", "a", SERVER | {"state": "draining"}, 7)], 7))
+    assert not follower.directory.may_take("a", 0.0)
 
 
 BAD_CONFIGURATIONS = [
@@ -177,15 +177,15 @@
 ]
 
 
-@pytest.mark.parametrize("bad", BAD_CONFIGURATIONS, ids=lambda each: str(each)[:60])
-def test_a_configuration_that_cannot_be_read_leaves_the_last_good_one(bad):
-    """Seen in a trial: after a `version` as a text no keyed request was served."""
-    followed = Followed(Table.CONFIGURATION)
-    followed.answer(page([row("op", "config", configuration(1))]))
-    followed.answer(page([row("op", "config", bad, 6)], 6))
-    assert followed.site.routes.configuration.version == 1
-    followed.answer(page([row("op", "config", configuration(3), 7)], 7))
-    assert followed.site.routes.configuration.version == 3
+@pytest.mark.parametrize("bad", BAD_CONFIGURATIONS, ids=lambda value: str(value)[:60])
+def test_a_malformed_configuration_leaves_the_previous_one_in_force(bad):
+    """Otherwise requests with a key would be refused until the next valid version."""
+    follower = TableFollower(Table.CONFIGURATION)
+    follower.respond(page([row("op", "config", configuration(1))]))
+    follower.respond(page([row("op", "config", bad, 6)], 6))
+    assert follower.site.routes.configuration.version == 1
+    follower.respond(page([row("op", "config", configuration(3), 7)], 7))
+    assert follower.site.routes.configuration.version == 3
 
 
 @pytest.mark.parametrize(
@@ -204,48 +204,48 @@
     ],
     ids=str,
 )
-def test_a_page_that_cannot_be_read_is_asked_for_again(bad):
-    followed = Followed(Table.ENDPOINTS)
-    followed.answer(bad)
-    followed.answer(page([row("servers", "good", SERVER)]))
-    assert followed.directory.may_take("good", 0.0)
-
-
-def test_a_fault_in_taking_a_reading_is_followed_by_a_fresh_one():
-    followed = Followed(Table.ENDPOINTS)
-    followed.answer(page([row("servers", "a", SERVER)]))
-    takes = followed.take.side_effect
-    followed.take.side_effect = ArithmeticError("a fault of ours")
-    followed.answer(page([row("servers", "b", SERVER)], 6))
-    followed.take.side_effect = takes
-    assert "rows-get" in followed.urls[-1]
-    followed.answer(page([row("servers", "c", SERVER)], 7))
-    assert followed.directory.may_take("c", 0.0)
-
-
-def test_a_broken_invariant_in_taking_a_reading_is_not_passed_over(monkeypatch):
+def test_a_malformed_page_is_requested_again(bad):
+    follower = TableFollower(Table.ENDPOINTS)
+    follower.respond(bad)
+    follower.respond(page([row("servers", "good", SERVER)]))
+    assert follower.directory.may_take("good", 0.0)
+
+
+def test_an_error_while_applying_a_read_causes_a_full_read():
+    follower = TableFollower(Table.ENDPOINTS)
+    follower.respond(page([row("servers", "a", SERVER)]))
+    apply_effect = follower.apply.side_effect
+    follower.apply.side_effect = ArithmeticError("injected")
+    follower.respond(page([row("servers", "b", SERVER)], 6))
+    follower.apply.side_effect = apply_effect
+    assert "rows-get" in follower.urls[-1]
+    follower.respond(page([row("servers", "c", SERVER)], 7))
+    assert follower.directory.may_take("c", 0.0)
+
+
+def test_a_broken_invariant_while_applying_a_read_is_raised(monkeypatch):
     spawned: list[Any] = []
     monkeypatch.setattr(
         "coursekeel.gateway.site._follow_task.spawn",
         lambda work, *_: spawned.append(work),
     )
-    followed = Followed(Table.ENDPOINTS)
-    followed.take.side_effect = InvariantBroken("so")
-    done = ensureDeferred(spawned[0])
-    found: list[Any] = []
-    done.addErrback(found.append)
+    follower = TableFollower(Table.ENDPOINTS)
+    follower.apply.side_effect = InvariantBroken("injected")
+    task = ensureDeferred(spawned[0])
+    failures: list[Any] = []
+    task.addErrback(failures.append)
     body = orjson.dumps(page([row("servers", "a", SERVER)]))
-    followed.answers[-1].callback(HttpReply(200, "json", body))
-    assert found[0].check(InvariantBroken)
+    follower.pending_responses[-1].callback(HttpReply(200, "json", body))
+    assert failures[0].check(InvariantBroken)
 
 
-def outcome_of(body: bytes, table: Table, whole: bool) -> Any:
+def read_result(body: bytes, table: Table, whole: bool) -> Any:
     source = PlatformSource(FakeReactor(), "127.0.0.1:1")
     source._rows._fetcher = Mock(ask=lambda *_: succeed(HttpReply(200, "json", body)))
-    asked = source.read(table, 1.0) if whole else source.follow(table, at(1), 1.0, 1.0)
-    found: list[Any] = []
-    ensureDeferred(asked).addBoth(found.append)
-    return found[0]
+    call = source.read(table, 1.0) if whole else source.follow(table, at(1), 1.0, 1.0)
+    results: list[Any] = []
+    ensureDeferred(call).addBoth(results.append)
+    return results[0]
 
 
 @given(
@@ -264,26 +264,26 @@
     table=st.sampled_from(Table),
     whole=st.booleans(),
 )
-def test_any_page_is_a_reading_or_a_failure(body, table, whole):
-    outcome = outcome_of(orjson.dumps(body), table, whole)
-    assert isinstance(outcome, Reading | HistoryGone | SourceFailed)
+def test_any_page_gives_a_read_or_a_failure(body, table, whole):
+    result = read_result(orjson.dumps(body), table, whole)
+    assert isinstance(result, Reading | HistoryGone | SourceFailed)
 
 
 @given(changes=st.dictionaries(st.sampled_from(sorted(SERVER)), JSON), good=st.text())
-def test_any_servers_row_leaves_its_neighbour_alone(changes, good):
+def test_no_server_row_affects_another(changes, good):
     rows = [
         row("servers", f"{good}-bad", SERVER | changes),
         row("servers", good, SERVER),
     ]
-    reading = outcome_of(orjson.dumps(page(rows)), Table.ENDPOINTS, True)
+    table_read = read_result(orjson.dumps(page(rows)), Table.ENDPOINTS, True)
     directory = EndpointDirectory()
     settings = LiveSettings(SETTINGS)
     site = KnownSite(FakeReactor(), Mock(), settings, directory, Mock())
-    site.take_endpoints(reading)
+    site.take_endpoints(table_read)
     assert directory.record(good) is not None
-    # What was taken can be used: routing reads slots, zones and addresses.
-    assert all(isinstance(each, int) for each in directory.slots().values())
-    assert all(isinstance(each, str) for each in directory.zones().values())
+    # Routing relies on the types of slots and zones.
+    assert all(isinstance(slots, int) for slots in directory.slots().values())
+    assert all(isinstance(zone, str) for zone in directory.zones().values())
 
 
 @given(
@@ -293,7 +293,7 @@
         optional={"runs": JSON},
     )
 )
-def test_any_report_is_read_with_whole_numbers_or_not_at_all(body):
+def test_any_decoded_report_has_integer_fields(body):
     report = PlatformEndpoints().read_report(orjson.dumps(body))
     if not isinstance(report, EndpointReport):
         return
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,4 +1,4 @@
-"""A gateway that can't start says why; one without a store waits and refuses."""
+"""Start of a gateway: bad settings are reported; it waits for the store to serve."""
 
 import os
 import subprocess
@@ -20,7 +20,7 @@
 }
 
 
-def start(tmp_path, text: str) -> subprocess.CompletedProcess:
+def run_gateway(tmp_path, text: str) -> subprocess.CompletedProcess:
     file = tmp_path / "settings.json"
     file.write_text(text)
     return subprocess.run(
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"store": "nowhere"}, "store: got 'nowhere', expected an address"),
         ({"timers": {"revoke_ms": 5}}, "timers.revoke_ms: got 5, expected at least"),
@@ -44,33 +44,33 @@
         ({"zone": None}, "zone"),
     ],
 )
-def test_bad_settings_are_named_without_a_traceback(tmp_path, change, said):
-    done = start(tmp_path, orjson.dumps(GOOD | change).decode())
-    assert done.returncode == 64
-    assert said in done.stderr
-    assert "Traceback" not in done.stderr
+def test_bad_settings_are_reported_without_a_traceback(tmp_path, change, message):
+    result = run_gateway(tmp_path, orjson.dumps(GOOD | change).decode())
+    assert result.returncode == 64
+    assert message in result.stderr
+    assert "Traceback" not in result.stderr
 
 
-def test_every_bad_key_is_named_at_once(tmp_path):
+def test_all_bad_settings_are_reported_together(tmp_path):
     bad = GOOD | {"store": "nowhere", "timers": {"revoke_ms": 5}, "surprise": 1}
-    done = start(tmp_path, orjson.dumps(bad).decode())
+    result = run_gateway(tmp_path, orjson.dumps(bad).decode())
     for name in ("store", "revoke_ms", "surprise"):
-        assert name in done.stderr
+        assert name in result.stderr
 
 
-def test_fractions_are_taken_where_the_platform_may_give_them():
+def test_fractional_numbers_are_accepted_in_settings():
     timers = {"revoke_ms": 4_500.5, "grace_s": 7.5}
     retries = {"ratio": 1, "slack": 99.5, "window_s": 10}
-    given = GOOD | {"timers": timers, "retries": retries}
-    settings = parse_gateway_settings(given, "test")
+    values = GOOD | {"timers": timers, "retries": retries}
+    settings = parse_gateway_settings(values, "test")
     assert settings.timers.grace_ms == 7_500
     assert (
         settings.timers.configuration_hold_ms < settings.timers.max_key_age_ms < 4_500
     )
 
 
-def test_a_missing_file_is_named(tmp_path):
-    done = subprocess.run(
+def test_a_missing_settings_file_is_reported(tmp_path):
+    result = subprocess.run(
         [sys.executable, "platform/serve.py"],
         cwd=ROOT,
         env=os.environ | {"COURSEKEEL_SETTINGS": str(tmp_path / "none.json")},
@@ -78,11 +78,11 @@
         text=True,
         timeout=30,
     )
-    assert done.returncode == 64
-    assert "none.json: can't be read" in done.stderr
+    assert result.returncode == 64
+    assert "none.json: can't be read" in result.stderr
 
 
-def test_without_a_store_it_refuses_and_serves_once_there_is_one(tmp_path):
+def test_a_gateway_refuses_requests_until_it_has_read_the_store(tmp_path):
     site = GatewaySite(tmp_path)
     try:
         site.start(6)
@@ -98,45 +98,47 @@
         site.stop()
 
 
-def test_what_comes_while_the_first_configuration_is_on_its_way_is_served(tmp_path):
-    """Callers of instances that all died come back once, within the fraction of a
-    second that the first configuration takes over a thin link."""
+def test_requests_wait_while_the_first_configuration_is_received(tmp_path):
+    """After a crash of all instances callers retry only once, possibly while the first
+    configuration still comes over a slow link."""
     site = GatewaySite(tmp_path)
     try:
         site.start(6)
         site.store(bytes_per_s=4_000)
         ports = site.start_gateway("g2", wait=False)
         assert not site.ready(ports)
-        stream, whole = (
+        stream, single = (
             site.open(path, port=ports[0], deadline_ms="9000")[0]
             for path in ("/stream/20", "/again/x")
         )
-        answers = [read(each) for each in (stream, whole)]
-        assert [each.status for each in answers] == [200, 200]
+        answers = [read(connection) for connection in (stream, single)]
+        assert [answer.status for answer in answers] == [200, 200]
         assert answers[0].body == events(20)
         assert "request_refused" not in site.log("g2")
     finally:
         site.stop()
 
 
-def test_what_waits_for_the_first_configuration_is_refused_once_it_fails(tmp_path):
-    """Nobody waits for what is known to be away, and nothing of it ran."""
+def test_waiting_requests_are_refused_once_the_store_read_fails(tmp_path):
+    """The refusal comes at once, and no server has run the request."""
     site = GatewaySite(tmp_path)
     try:
         site.start(6)
         site.store(fault="reset")
         ports = site.start_gateway("g2", wait=False, store_ms=8_000)
         connection, request_id = site.open("/again/x", port=ports[0])
-        begun_s = time.monotonic()
+        start_s = time.monotonic()
         answer = read(connection)
         assert answer.status == 503 and "retry-after" in answer.headers
-        assert time.monotonic() - begun_s < 0.4, "a tenth of its time is 0.5 s"
+        assert time.monotonic() - start_s < 0.4, (
+            "the limit is a tenth of the deadline, 0.5 s"
+        )
         assert site.ran(request_id) == []
     finally:
         site.stop()
 
 
-UNUSED = (
+UNUSED_MODULES = (
     "coursekeel.entry",
     "coursekeel.intents",
     "coursekeel.membership",
@@ -146,8 +148,8 @@
 )
 
 
-def test_a_gateway_loads_nothing_that_it_does_not_run():
-    """Every instance pays for memory, and is away for as long as a start takes."""
+def test_a_gateway_imports_no_module_that_it_does_not_use():
+    """Unused imports cost memory and start time on every instance."""
     code = "import sys, serve, coursekeel.gateway; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-c", code],
@@ -157,4 +159,4 @@
         cwd=ROOT / "platform",
     ).stdout.split()
     assert "coursekeel.gateway" in loaded
-    assert not set(loaded) & set(UNUSED)
+    assert not set(loaded) & set(UNUSED_MODULES)
--- a/tests/platform/test_store_restored.py
+++ b/tests/platform/test_store_restored.py
@@ -1,7 +1,7 @@
-"""The store comes back from an older copy, under real gateways.
+"""The store is restored from an older copy while real gateways run.
 
-Its era rises, versions are given out again, and what was written since is gone until
-its writers write it again.
+Its era rises, it assigns versions again, and later writes are lost until their writers
+repeat them.
 """
 
 import pytest
@@ -12,31 +12,31 @@
 
 @pytest.fixture
 def site(tmp_path):
-    made = GatewaySite(tmp_path)
+    gateway_site = GatewaySite(tmp_path)
     try:
-        made.start(6)
-        yield made
-        for word in ("unhandled_failure", "task_failed", "Traceback"):
-            assert word not in made.log(), made.log()[-3_000:]
+        gateway_site.start(6)
+        yield gateway_site
+        for marker in ("unhandled_failure", "task_failed", "Traceback"):
+            assert marker not in gateway_site.log(), gateway_site.log()[-3_000:]
     finally:
-        made.stop()
+        gateway_site.stop()
 
 
-def restored(site: GatewaySite, name: str = "g1") -> bool:
+def has_read_restored_tables(site: GatewaySite, name: str = "g1") -> bool:
     return site.log(name).count("event=store_restored") >= 2
 
 
-def test_changes_after_a_restore_are_in_force_though_their_versions_were_given_out(
+def test_changes_after_a_restore_apply_although_their_versions_were_used_before(
     site,
 ):
-    """The copy is some versions back: what is written next has a lower version than
-    what was read before, for the configuration and for the list of endpoints."""
+    """The next write to either table has a lower version than the instance has read
+    before."""
     site.store(copy=True)
     for _ in range(20):
         site.configure()
     wait_until(lambda: f"version={site.version}" in site.log(), "the last is in force")
     site.store(restore=True)
-    wait_until(lambda: restored(site), "both tables were read again")
+    wait_until(lambda: has_read_restored_tables(site), "both tables were read again")
     site.configure(keys=(KEY, "key-2"))
     site.put_server(3, "draining")
     wait_until(lambda: site.ask("/again/x", key="key-2").status == 200, "a new key")
@@ -46,20 +46,20 @@
     assert len(site.control.get("/servers")["s3"]["ran"]) == before
 
 
-def test_a_configuration_does_not_go_back_nor_a_key_come_back(site):
+def test_a_restore_reverts_neither_the_configuration_nor_a_revoked_key(site):
     site.configure(keys=(KEY, "key-2"))
     wait_until(lambda: site.ask("/again/x", key="key-2").status == 200, "key-2 works")
     site.store(copy=True)
     site.configure()
     wait_until(lambda: site.ask("/again/x", key="key-2").status == 401, "it is gone")
     site.store(restore=True)
-    wait_until(lambda: restored(site), "both tables were read again")
+    wait_until(lambda: has_read_restored_tables(site), "both tables were read again")
     for _ in range(20):
         assert site.ask("/again/x", key="key-2").status == 401
         assert site.ask("/again/x").status == 200
 
 
-def test_endpoints_that_the_copy_lacks_serve_on_and_register_again(site):
+def test_endpoints_missing_from_the_copy_stay_in_use(site):
     rows = [site.server_row(number) for number in (3, 4, 5)]
     site.put([("servers", row[1], None) for row in rows])
     wait_until(lambda: site.log().count("event=endpoint_gone") == 3, "they are gone")
@@ -67,11 +67,11 @@
     site.put([("servers", f"{row[1]}", row[2]) for row in rows])
     wait_until(lambda: site.ask("/again/x").status == 200, "they are back")
     site.store(restore=True)
-    wait_until(lambda: restored(site), "both tables were read again")
+    wait_until(lambda: has_read_restored_tables(site), "both tables were read again")
     assert all(site.ask("/again/x").status == 200 for _ in range(12))
 
 
-def test_an_endpoint_that_left_before_the_restore_does_not_come_back_to_life(site):
+def test_endpoints_that_left_before_the_restore_stay_out_of_use(site):
     site.store(copy=True)
     site.put_server(3, "draining")
     wait_until(lambda: "endpoint_leaving endpoint=s3" in site.log(), "s3 leaves")
@@ -79,17 +79,17 @@
     wait_until(lambda: "endpoint_gone endpoint=s4" in site.log(), "s4 is gone")
     site.forget()
     site.store(restore=True)
-    wait_until(lambda: restored(site), "both tables were read again")
+    wait_until(lambda: has_read_restored_tables(site), "both tables were read again")
     assert all(site.ask("/again/x").status == 200 for _ in range(20))
     servers = site.control.get("/servers")
     assert servers["s3"]["ran"] == servers["s4"]["ran"] == []
     assert len(servers["s5"]["ran"]) == 20
 
 
-@pytest.mark.parametrize("told", ["", "0", "x"])
-def test_an_era_that_falls_or_cannot_be_read_proves_nothing(site, told):
-    site.store(era_told=told)
-    wait_until(lambda: not site.ready(), "what is known is too old")
+@pytest.mark.parametrize("era", ["", "0", "x"])
+def test_a_lower_or_malformed_era_confirms_nothing(site, era):
+    site.store(era_told=era)
+    wait_until(lambda: not site.ready(), "the cached state is too old")
     assert site.ask("/again/x").status == 503
     log = site.log()
     assert "event=store_era_fell" in log or "store-era: got 'x', expected" in log
@@ -98,9 +98,9 @@
     assert site.ask("/again/x").status == 200
 
 
-def test_members_of_another_era_learn_from_each_other(tmp_path):
-    """One that the store turned away learns the new era from its neighbour; one that
-    starts learns the newest configuration from it, which the copy doesn't have."""
+def test_members_with_different_eras_exchange_the_newest_state(tmp_path):
+    """An instance that starts after the restore receives from its peer the newest
+    configuration, which the store has lost."""
     site = GatewaySite(tmp_path)
     port = free_port("127.0.0.2")
     peers = [f"127.0.0.{number}:{port}" for number in (2, 3)]
@@ -114,11 +114,13 @@
             "key-2 works",
         )
         site.store(restore=True)
-        wait_until(lambda: restored(site, "m1"), "both tables were read again")
+        wait_until(
+            lambda: has_read_restored_tables(site, "m1"), "both tables were read again"
+        )
         second = site.start_gateway("m2", listen={"peers": peers[1]}, seeds=peers[:1])
         wait_until(
             lambda: site.ask("/again/x", port=second[0], key="key-2").status == 200,
-            "the newcomer knows the newest configuration",
+            "the new instance has the newest configuration",
         )
         assert site.ask("/again/x", port=first[0], key="key-2").status == 200
     finally:
