--- a/tests/platform/test_group.py
+++ b/tests/platform/test_group.py
@@ -1,4 +1,4 @@
-"""Gateways that know each other: real processes, on loopback addresses of their own."""
+"""Tests a group of gateway processes, each on its own loopback address."""
 
 import os
 import signal
@@ -12,10 +12,10 @@
 from standins.site import wait_until
 from tests.platform.site import KEY, GatewaySite, free_port, running_gateway
 
-# Without an immediate end of keys, so that an outage refuses nothing that is known. Its
-# bounds leave a proof 0.3 s to come late before the store is asked instead: with 0.1 s
-# busy machines asked it again and again.
-SERVING_ON = {
+# With strict_revoke off, a store outage refuses no request that the cached
+# configuration allows. A confirmation may be 0.3 s late before an instance queries
+# the store itself.
+OUTAGE_TOLERANT_TIMERS = {
     "strict_revoke": False,
     "configuration_ms": 3_000,
     "stretch_ms": 60_000,
@@ -25,7 +25,7 @@
 
 
 class GroupSite:
-    """Three gateways of one zone that find each other by one seed."""
+    """Three gateways of one zone that discover each other through one seed address."""
 
     def __init__(self, site: GatewaySite) -> None:
         self.site = site
@@ -35,7 +35,7 @@
         for number in (1, 2, 3):
             self.start(number)
         for number in (1, 2, 3):
-            self.sees(number, 3)
+            self.wait_for_members(number, 3)
 
     def start(self, number: int) -> None:
         name = f"m{number}"
@@ -44,7 +44,7 @@
             wait=False,
             listen={"peers": self.address(number)},
             seeds=[self.address(1)],
-            **SERVING_ON,
+            **OUTAGE_TOLERANT_TIMERS,
         )
         self.processes[name] = self.site.processes[-1]
         try:
@@ -56,12 +56,12 @@
             raise
 
     def end_all(self) -> None:
-        """All instances are killed at the same moment."""
+        """Kill all instances at once, so that no member outlives the others."""
         for process in self.processes.values():
             process.kill()
         for name, process in self.processes.items():
             process.wait()
-            # The next life is found by the ports in its own log.
+            # Ports are read from the log, so a restart needs an empty one.
             (self.site.folder / f"{name}.log").unlink()
 
     def address(self, number: int) -> str:
@@ -77,28 +77,31 @@
                 return float(line.split()[-1])
         raise AssertionError(f"no metric {name}")
 
-    def sees(self, number: int, count: int, within_s: float = 15) -> None:
+    def wait_for_members(self, number: int, count: int, within_s: float = 15) -> None:
         wait_until(
             lambda: self.metric(number, "coursekeel_members") == count,
-            f"m{number} sees {count} members",
+            f"m{number} has {count} members",
             within_s,
         )
 
-    def holder(self) -> int:
-        """Who asks the store: its calls rise while the others' stand still."""
+    def lease_holder(self) -> int:
+        """Return the number of the instance that holds the lease and reads the store.
+
+        Its count of store reads rises while those of the others do not.
+        """
         before = {n: self.metric(n, "coursekeel_store_reads") for n in (1, 2, 3)}
-        risen: list[int] = []
+        readers: list[int] = []
 
-        def found() -> bool:
-            risen[:] = [
+        def any_reader() -> bool:
+            readers[:] = [
                 n
                 for n in (1, 2, 3)
                 if self.metric(n, "coursekeel_store_reads") >= before[n] + 3
             ]
-            return bool(risen)
+            return bool(readers)
 
-        wait_until(found, "one asks the store", 15)
-        return risen[0]
+        wait_until(any_reader, "one instance reads the store", 15)
+        return readers[0]
 
 
 @pytest.fixture(scope="module")
@@ -107,26 +110,29 @@
         yield GroupSite(site)
 
 
-def test_one_asks_the_store_and_the_others_ask_that_one(group):
-    """Questions that each held for itself, before it knew the others, end first."""
-    holder = group.holder()
+def test_only_the_lease_holder_reads_the_store_and_the_others_read_from_it(group):
+    """Store reads that an instance began before it joined the group finish first."""
+    holder = group.lease_holder()
     others = [n for n in (1, 2, 3) if n != holder]
-    seen: dict[int, tuple[float, float]] = {}
+    last_counts: dict[int, tuple[float, float]] = {}
 
-    def standing_still() -> bool:
+    def others_read_from_holder() -> bool:
         for number in others:
-            calls = group.metric(number, "coursekeel_store_reads")
-            read = group.metric(number, "coursekeel_member_reads")
-            if number not in seen or seen[number][0] != calls:
-                seen[number] = (calls, read)
+            store_reads = group.metric(number, "coursekeel_store_reads")
+            member_reads = group.metric(number, "coursekeel_member_reads")
+            if number not in last_counts or last_counts[number][0] != store_reads:
+                last_counts[number] = (store_reads, member_reads)
         return all(
-            group.metric(n, "coursekeel_member_reads") >= seen[n][1] + 5 for n in others
+            group.metric(n, "coursekeel_member_reads") >= last_counts[n][1] + 5
+            for n in others
         )
 
-    wait_until(standing_still, "the others read from it and ask the store no more", 60)
+    wait_until(
+        others_read_from_holder, "the others read only from the lease holder", 60
+    )
 
 
-def test_a_change_reaches_all(group):
+def test_a_configuration_change_reaches_all_members(group):
     group.site.configure(keys=(KEY, "key-2"))
     for number in (1, 2, 3):
         wait_until(lambda n=number: group.ask(n, key="key-2") == 200, "in force", 3)
@@ -135,24 +141,32 @@
         wait_until(lambda n=number: group.ask(n, key="key-2") == 401, "revoked", 3)
 
 
-def test_a_stopped_holder_is_passed_over(group):
-    holder = group.holder()
+def test_members_bypass_a_stopped_lease_holder(group):
+    holder = group.lease_holder()
     process = group.processes[f"m{holder}"]
     process.send_signal(signal.SIGSTOP)
     try:
         group.site.configure(keys=(KEY, "key-3"))
         others = [n for n in (1, 2, 3) if n != holder]
         for number in others:
-            wait_until(lambda n=number: group.ask(n, key="key-3") == 200, "in force", 8)
+            wait_until(
+                lambda n=number: group.ask(n, key="key-3") == 200,
+                "in force",
+                8,
+            )
     finally:
         process.send_signal(signal.SIGCONT)
-    wait_until(lambda: group.ask(holder, key="key-3") == 200, "it catches up", 4)
+    wait_until(
+        lambda: group.ask(holder, key="key-3") == 200,
+        "the resumed instance has the new key",
+        4,
+    )
     group.site.configure()
     for number in (1, 2, 3):
-        group.sees(number, 3)
+        group.wait_for_members(number, 3)
 
 
-def test_in_a_common_outage_what_is_known_is_served_and_told_to_newcomers(group):
+def test_members_serve_and_send_cached_state_to_joiners_in_a_store_outage(group):
     group.site.store(fault="silent")
     try:
         for number in (1, 2, 3):
@@ -160,7 +174,7 @@
                 lambda n=number: (
                     "event=store_lost table=configuration" in group.site.log(f"m{n}")
                 ),
-                "the outage is seen",
+                "the outage is detected",
                 20,
             )
         group.processes["m3"].send_signal(signal.SIGKILL)
@@ -171,31 +185,40 @@
     finally:
         group.site.store(fault="")
     for number in (1, 2, 3):
-        group.sees(number, 3)
+        group.wait_for_members(number, 3)
 
 
-def test_a_liar_changes_nothing_and_is_told_of(group):
+def test_forged_messages_change_nothing_and_are_logged(group):
     for number in (1, 2, 3):
         wait_until(lambda n=number: group.ask(n) == 200, f"m{number} serves", 30)
-    port, own = group.port, group.address(1)
+    port, target = group.port, group.address(1)
     group_name = f"127.0.0.1:{group.site.store_port}"
-    lie = News(group.address(2), "ikeja", 99, MemberState.GONE)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as liar:
-        liar.bind(("127.0.0.99", 0))
-        liar_address = "{}:{}".format(*liar.getsockname())
+    forged_update = News(group.address(2), "ikeja", 99, MemberState.GONE)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as attacker:
+        attacker.bind(("127.0.0.99", 0))
+        attacker_address = "{}:{}".format(*attacker.getsockname())
         to = ("127.0.0.11", port)
         for message in (
-            SwimMessage("other", MessageKind.PING, liar_address, "ikeja", 0),
+            SwimMessage("other", MessageKind.PING, attacker_address, "ikeja", 0),
             SwimMessage(group_name, MessageKind.PING, group.address(2), "ikeja", 0),
         ):
-            liar.sendto(encode_message(message), to)
-        liar.sendto(b"\x00" * 1_300, to)
-        told = SwimMessage(
-            group_name, MessageKind.PING, liar_address, "ikeja", 0, 1, "", (lie,)
+            attacker.sendto(encode_message(message), to)
+        attacker.sendto(b"\x00" * 1_300, to)
+        poisoned_ping = SwimMessage(
+            group_name,
+            MessageKind.PING,
+            attacker_address,
+            "ikeja",
+            0,
+            1,
+            "",
+            (forged_update,),
         )
-        liar.sendto(encode_message(told), to)
+        attacker.sendto(encode_message(poisoned_ping), to)
     wait_until(
-        lambda: "event=datagram_refused" in group.site.log("m1"), "it is told", 5
+        lambda: "event=datagram_refused" in group.site.log("m1"),
+        "the refusal is logged",
+        5,
     )
     for path, status in (
         ("/tables/configuration?group=other&wait_ms=0", 403),
@@ -204,19 +227,19 @@
         (f"/tables/configuration?group={group_name}&wait_ms=x", 400),
         ("/elsewhere", 400),
     ):
-        connection = HTTPConnection(own.split(":")[0], port, timeout=5)
+        connection = HTTPConnection(target.split(":")[0], port, timeout=5)
         connection.request("GET", path)
         assert connection.getresponse().status == status, path
         connection.close()
     assert [group.ask(number) for number in (1, 2, 3)] == [200, 200, 200]
     wait_until(
         lambda: group.metric(1, "coursekeel_members") >= 3,
-        "the lie is contradicted",
+        "the forged update is refuted",
         30,
     )
 
 
-def test_no_key_of_a_team_is_told_to_members(group):
+def test_members_receive_no_api_key(group):
     name = f"127.0.0.1:{group.site.store_port}"
     connection = HTTPConnection(group.address(1).split(":")[0], group.port, timeout=5)
     connection.request("GET", f"/tables/configuration?group={name}&wait_ms=0")
@@ -226,7 +249,7 @@
     assert KEY.encode() not in body
 
 
-def test_one_that_stops_is_missed_at_once(group):
+def test_a_stopping_member_announces_its_leave(group):
     process = group.processes["m3"]
     process.send_signal(signal.SIGTERM)
     for number in (1, 2):
