--- a/tests/platform/test_rollout.py
+++ b/tests/platform/test_rollout.py
@@ -1,7 +1,7 @@
-"""Roll-outs before the users' platform: real gateways, its operator and its servers.
+"""Tests rollouts with real gateway processes and a stand-in of the platform.
 
-Servers 0 to 2 are engines, 3 to 5 are plain ones of the version v1; 6 to 8 are plain
-ones that the list names later, as v2.
+Servers 0 to 2 are engines, 3 to 5 plain servers of version v1. Servers 6 to 8 are plain
+servers of version v2, which each test lists.
 """
 
 import threading
@@ -15,35 +15,36 @@
 from standins.site import wait_until
 from tests.platform.site import GatewaySite, free_port, running_gateway
 
-OLD = ("s3", "s4", "s5")
-NEW = ("s6", "s7", "s8")
+OLD_SERVERS = ("s3", "s4", "s5")
+NEW_SERVERS = ("s6", "s7", "s8")
 
 
 @pytest.fixture
 def site(tmp_path):
-    made = GatewaySite(tmp_path)
+    gateway_site = GatewaySite(tmp_path)
     try:
-        made.start(9, listed=6)
-        yield made
+        gateway_site.start(9, listed=6)
+        yield gateway_site
         for word in ("unhandled_failure", "task_failed", "Traceback"):
-            assert word not in made.log(), made.log()[-3_000:]
+            assert word not in gateway_site.log(), gateway_site.log()[-3_000:]
     finally:
-        made.stop()
+        gateway_site.stop()
 
 
 class Callers:
-    """Ask all the while, a few at once, of all instances in turn."""
+    """Six threads that send requests to the given ports until stopped."""
 
     def __init__(self, site: GatewaySite, ports: list[int], path: str) -> None:
         self.site, self.ports, self.path = site, ports, path
         self.statuses: Counter[int] = Counter()
-        self.done = threading.Event()
+        self.stop = threading.Event()
         self.threads = [
-            threading.Thread(target=self.ask, args=(number,)) for number in range(6)
+            threading.Thread(target=self.send_requests, args=(number,))
+            for number in range(6)
         ]
 
-    def ask(self, number: int) -> None:
-        while not self.done.is_set():
+    def send_requests(self, number: int) -> None:
+        while not self.stop.is_set():
             port = self.ports[number % len(self.ports)]
             try:
                 self.statuses[self.site.ask(self.path, port=port).status] += 1
@@ -53,120 +54,156 @@
 
 
 @contextmanager
-def asked(site: GatewaySite, ports: list[int] | None = None, path: str = "/again/x"):
+def background_requests(
+    site: GatewaySite, ports: list[int] | None = None, path: str = "/again/x"
+):
     callers = Callers(site, ports or site.ports[:1], path)
-    for each in callers.threads:
-        each.start()
+    for thread in callers.threads:
+        thread.start()
     try:
         yield callers
     finally:
-        callers.done.set()
-        for each in callers.threads:
-            each.join()
+        callers.stop.set()
+        for thread in callers.threads:
+            thread.join()
 
 
-def ran(site: GatewaySite, names: tuple[str, ...]) -> int:
+def run_count(site: GatewaySite, names: tuple[str, ...]) -> int:
     servers = site.control.get("/servers")
     return sum(len(servers[name]["ran"]) for name in names)
 
 
-def list_new(site: GatewaySite) -> None:
+def list_new_servers(site: GatewaySite) -> None:
     site.put([site.server_row(number, version="v2") for number in (6, 7, 8)])
 
 
-def test_a_good_version_is_tried_on_few_requests_and_completed_in_time(site):
-    with asked(site) as callers:
+def test_a_good_version_gets_few_requests_first_and_completes_in_time(site):
+    with background_requests(site) as callers:
         site.order("plain", "v2", 9)
-        list_new(site)
-        begun_s = time.monotonic()
-        wait_until(lambda: site.rollout("plain") == "running", "it is recorded", 3)
+        list_new_servers(site)
+        started_s = time.monotonic()
+        wait_until(lambda: site.rollout("plain") == "running", "the state is stored", 3)
         time.sleep(3)
-        tried, all_of_them = ran(site, NEW), ran(site, OLD + NEW)
-        assert 0 < tried <= 0.1 * all_of_them + 50
-        wait_until(lambda: site.rollout("plain") == "completed", "it is completed", 9)
-        assert time.monotonic() - begun_s < 9
-        before = ran(site, OLD)
+        new_runs, all_runs = (
+            run_count(site, NEW_SERVERS),
+            run_count(site, OLD_SERVERS + NEW_SERVERS),
+        )
+        assert 0 < new_runs <= 0.1 * all_runs + 50
+        wait_until(
+            lambda: site.rollout("plain") == "completed", "the rollout is completed", 9
+        )
+        assert time.monotonic() - started_s < 9
+        old_runs = run_count(site, OLD_SERVERS)
         time.sleep(0.5)
-        assert ran(site, OLD) == before, "the old servers stop at once"
+        assert run_count(site, OLD_SERVERS) == old_runs, (
+            "the old servers get no more requests"
+        )
     assert set(callers.statuses) == {200}
 
 
-def test_a_bad_version_is_taken_back_before_fifty_bad_answers(site):
-    for name in NEW:
+def test_a_failing_version_is_rolled_back_before_fifty_failed_responses(site):
+    for name in NEW_SERVERS:
         site.faults(name, fail=10_000)
-    with asked(site) as callers:
+    with background_requests(site) as callers:
         site.order("plain", "v2", 30)
-        list_new(site)
-        wait_until(lambda: site.rollout("plain") == "rolled_back", "taken back", 15)
-        tried = ran(site, NEW)
-        assert 0 < tried < 50
+        list_new_servers(site)
+        wait_until(
+            lambda: site.rollout("plain") == "rolled_back",
+            "the rollout is rolled back",
+            15,
+        )
+        new_runs = run_count(site, NEW_SERVERS)
+        assert 0 < new_runs < 50
         time.sleep(1)
-        assert ran(site, NEW) == tried
-    assert set(callers.statuses) == {200}, "what may be repeated ran at the old ones"
+        assert run_count(site, NEW_SERVERS) == new_runs
+    assert set(callers.statuses) == {200}, (
+        "failed requests are retried at the old servers"
+    )
     assert "reason=worse" in site.log()
 
 
-def test_a_slow_version_is_taken_back(site):
-    for name in OLD:
+def test_a_slow_version_is_rolled_back(site):
+    for name in OLD_SERVERS:
         site.faults(name, delay_ms=20)
-    for name in NEW:
+    for name in NEW_SERVERS:
         site.faults(name, delay_ms=120)
-    with asked(site):
+    with background_requests(site):
         site.order("plain", "v2", 30)
-        list_new(site)
-        wait_until(lambda: site.rollout("plain") == "rolled_back", "taken back", 15)
-
-
-def test_a_new_version_gets_nothing_before_its_order(site):
-    """Its servers may be listed before the instance has read the order."""
-    with asked(site):
+        list_new_servers(site)
+        wait_until(
+            lambda: site.rollout("plain") == "rolled_back",
+            "the rollout is rolled back",
+            15,
+        )
+
+
+def test_a_new_version_is_limited_to_canary_traffic_if_listed_before_its_order_is_read(
+    site,
+):
+    """The servers are listed while the instance cannot read the order yet."""
+    with background_requests(site):
         site.store(fault="silent")
         time.sleep(0.3)
         site.order("plain", "v2", 30)
-        list_new(site)
+        list_new_servers(site)
         site.store(fault="")
         wait_until(lambda: "event=rollout_ordered" in site.log(), "the order is read")
         time.sleep(1.0)
-    assert ran(site, NEW) <= 0.1 * ran(site, OLD + NEW) + 50
+    assert (
+        run_count(site, NEW_SERVERS)
+        <= 0.1 * run_count(site, OLD_SERVERS + NEW_SERVERS) + 50
+    )
 
 
-def test_a_version_that_no_order_names_serves_once_orders_are_known(site):
-    list_new(site)
-    with asked(site):
-        wait_until(lambda: ran(site, NEW) > 5, "it serves", 5)
+def test_a_version_without_an_order_serves_once_orders_are_read(site):
+    list_new_servers(site)
+    with background_requests(site):
+        wait_until(
+            lambda: run_count(site, NEW_SERVERS) > 5, "the new version serves", 5
+        )
 
 
-def test_while_the_store_is_away_nothing_more_goes_to_a_bad_version(site):
-    """The verdict counts at once, and the record follows when the store is back."""
+def test_a_failing_version_is_rolled_back_in_a_store_outage(site):
+    """The rollback takes effect at once and is stored when the store is back."""
     site.configure()
-    with asked(site, path="/open/x"):
+    with background_requests(site, path="/open/x"):
         site.order("plain", "v2", 60)
-        list_new(site)
-        wait_until(lambda: site.rollout("plain") == "running", "it is recorded", 5)
-        wait_until(lambda: ran(site, NEW) > 3, "it is tried", 5)
+        list_new_servers(site)
+        wait_until(lambda: site.rollout("plain") == "running", "the state is stored", 5)
+        wait_until(
+            lambda: run_count(site, NEW_SERVERS) > 3, "the new version gets requests", 5
+        )
         site.store(fault="silent")
-        for name in NEW:
+        for name in NEW_SERVERS:
             site.faults(name, fail=10_000)
-        wait_until(lambda: "phase=rolled_back" in site.log(), "taken back", 25)
-        tried = ran(site, NEW)
+        wait_until(
+            lambda: "phase=rolled_back" in site.log(), "the rollout is rolled back", 25
+        )
+        new_runs = run_count(site, NEW_SERVERS)
         time.sleep(1)
-        assert ran(site, NEW) == tried
+        assert run_count(site, NEW_SERVERS) == new_runs
         site.store(fault="")
-        wait_until(lambda: site.rollout("plain") == "rolled_back", "it is recorded", 5)
+        wait_until(
+            lambda: site.rollout("plain") == "rolled_back", "the state is stored", 5
+        )
 
 
-def test_an_instance_that_starts_anew_knows_the_verdict_before_it_sends(site):
-    for name in NEW:
+def test_a_new_instance_sends_nothing_to_a_version_rolled_back_earlier(site):
+    for name in NEW_SERVERS:
         site.faults(name, fail=10_000)
-    with asked(site):
+    with background_requests(site):
         site.order("plain", "v2", 30)
-        list_new(site)
-        wait_until(lambda: site.rollout("plain") == "rolled_back", "taken back", 15)
-    tried = ran(site, NEW)
+        list_new_servers(site)
+        wait_until(
+            lambda: site.rollout("plain") == "rolled_back",
+            "the rollout is rolled back",
+            15,
+        )
+    new_runs = run_count(site, NEW_SERVERS)
     ports = site.start_gateway("g2")
-    with asked(site, ports[:1]):
+    with background_requests(site, ports[:1]):
         time.sleep(2)
-    assert ran(site, NEW) == tried
+    assert run_count(site, NEW_SERVERS) == new_runs
 
 
 @pytest.mark.parametrize(
@@ -178,46 +215,65 @@
         {"service": "plain", "target-version": "v2", "duration-s": 0},
     ],
 )
-def test_a_malformed_order_is_told_and_changes_nothing(site, order):
+def test_a_malformed_order_is_logged_and_changes_nothing(site, order):
     site.put([("op", "rollout/plain", order)])
-    wait_until(lambda: "key=rollout/plain" in site.log(), "it is told")
+    wait_until(
+        lambda: "key=rollout/plain" in site.log(), "the order is logged as unreadable"
+    )
     assert site.ask("/again/x").status == 200
     assert site.rollout("plain") == ""
 
 
-def test_a_malformed_order_in_the_place_of_a_good_one_takes_nothing_away(site):
+def test_a_malformed_order_does_not_replace_a_valid_one(site):
     site.order("plain", "v2", 60)
     wait_until(lambda: "event=rollout_ordered" in site.log(), "the order is read")
     bad = {"service": "plain", "target-version": "v2", "duration-s": "soon"}
     site.put([("op", "rollout/plain", bad)])
-    wait_until(lambda: "key=rollout/plain" in site.log(), "it is told")
+    wait_until(
+        lambda: "key=rollout/plain" in site.log(), "the order is logged as unreadable"
+    )
     site.store(compact=True)
     site.configure()
-    wait_until(lambda: f"version={site.version}" in site.log(), "all is read again")
-    list_new(site)
-    with asked(site):
-        wait_until(lambda: ran(site, NEW) > 0, "it is tried", 5)
-        assert ran(site, NEW) <= 0.1 * ran(site, OLD + NEW) + 50
-
-
-def test_a_verdict_that_a_restored_store_forgot_is_recorded_again(site):
-    for name in NEW:
+    wait_until(
+        lambda: f"version={site.version}" in site.log(), "the tables are read again"
+    )
+    list_new_servers(site)
+    with background_requests(site):
+        wait_until(
+            lambda: run_count(site, NEW_SERVERS) > 0, "the new version gets requests", 5
+        )
+        assert (
+            run_count(site, NEW_SERVERS)
+            <= 0.1 * run_count(site, OLD_SERVERS + NEW_SERVERS) + 50
+        )
+
+
+def test_a_rollback_lost_by_a_store_restore_is_stored_again(site):
+    for name in NEW_SERVERS:
         site.faults(name, fail=10_000)
     site.store(copy=True)
-    with asked(site):
+    with background_requests(site):
         site.order("plain", "v2", 30)
-        list_new(site)
-        wait_until(lambda: site.rollout("plain") == "rolled_back", "taken back", 15)
-        tried = ran(site, NEW)
+        list_new_servers(site)
+        wait_until(
+            lambda: site.rollout("plain") == "rolled_back",
+            "the rollout is rolled back",
+            15,
+        )
+        new_runs = run_count(site, NEW_SERVERS)
         site.store(restore=True)
         site.order("plain", "v2", 30)
-        list_new(site)
-        wait_until(lambda: site.rollout("plain") == "rolled_back", "it is again", 15)
-    assert ran(site, NEW) == tried
+        list_new_servers(site)
+        wait_until(
+            lambda: site.rollout("plain") == "rolled_back",
+            "it is rolled back again",
+            15,
+        )
+    assert run_count(site, NEW_SERVERS) == new_runs
 
 
-def test_a_group_judges_together_and_outlives_its_conductor(tmp_path):
-    """Three instances, each of which sees too little; one that conducts is killed."""
+def test_a_group_rolls_back_after_a_member_is_killed(tmp_path):
+    """Three instances share the requests, so that the verdict needs the sum of them."""
     with running_gateway(9) as site:
         site.put([("servers", site.identity(number), None) for number in (6, 7, 8)])
         port = free_port("127.0.0.21")
@@ -228,16 +284,22 @@
             )[0]
             for number in (1, 2, 3)
         ]
-        for name in NEW:
+        for name in NEW_SERVERS:
             site.faults(name, fail=10_000)
-        with asked(site, ports):
+        with background_requests(site, ports):
             site.order("plain", "v2", 30)
-            list_new(site)
-            wait_until(lambda: site.rollout("plain") == "running", "recorded", 5)
+            list_new_servers(site)
+            wait_until(
+                lambda: site.rollout("plain") == "running", "the state is stored", 5
+            )
             site.processes[-1].kill()
             del ports[-1]
-        with asked(site, ports):
-            wait_until(lambda: site.rollout("plain") == "rolled_back", "taken back", 20)
-            tried = ran(site, NEW)
+        with background_requests(site, ports):
+            wait_until(
+                lambda: site.rollout("plain") == "rolled_back",
+                "the rollout is rolled back",
+                20,
+            )
+            new_runs = run_count(site, NEW_SERVERS)
             time.sleep(1)
-            assert ran(site, NEW) == tried <= 60
+            assert run_count(site, NEW_SERVERS) == new_runs <= 60
