--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -1,4 +1,4 @@
-"""A gateway's process before the stand-in's, and callers that speak to it."""
+"""Runs gateway processes and the platform's stand-in, and sends requests as callers."""
 
 import itertools
 import os
@@ -21,13 +21,13 @@
 HOST = "site.example"
 ZONES = ("ikeja", "lekki", "yaba")
 KEY = "key-1"
-_CONFIGURATION_CALL = "/coursekeel/rows-get?table=op&part=&limit=3"
-_IDS = itertools.count(1)
+_CONFIGURATION_PATH = "/coursekeel/rows-get?table=op&part=&limit=3"
+_REQUEST_NUMBERS = itertools.count(1)
 
 
 @frozen
 class Answer:
-    """What a caller got; ``whole`` says whether the answer looked complete."""
+    """A response that a caller received; ``whole`` is False if it was cut off."""
 
     status: int
     headers: dict[str, str]
@@ -36,6 +36,7 @@
 
 
 def route(name: str, kind: str, pool: str, **more: Any) -> dict[str, Any]:
+    """Return a configured route; ``more`` adds or replaces its fields."""
     return {
         "name": name,
         "host": HOST,
@@ -54,7 +55,11 @@
     keys: tuple[str, ...] = (KEY,),
     second_keys: tuple[str, ...] | None = None,
 ) -> dict[str, Any]:
-    """``second_keys`` are those of a second team, None if there is none."""
+    """Return the platform's configuration.
+
+    ``keys`` are the API keys of the first team, ``second_keys`` those of a second team;
+    None leaves the second team out.
+    """
     teams = {"team-1": keys, "team-2": second_keys}
     return {
         "version": version,
@@ -73,16 +78,19 @@
         ],
         "limits": {"max-body-bytes": 2_000},
         "tenants": [
-            {"name": name, "api-keys": list(held), "priority": 1}
-            for name, held in teams.items()
-            if held is not None
+            {"name": name, "api-keys": list(team_keys), "priority": 1}
+            for name, team_keys in teams.items()
+            if team_keys is not None
         ],
     }
 
 
 @define
 class GatewaySite:
-    """Everything that runs for one test module."""
+    """The processes of one test module: the stand-in and the gateways.
+
+    ``ports`` are those of the first gateway: callers, readiness and metrics.
+    """
 
     folder: Path
     control: Http = field(init=False)
@@ -93,10 +101,10 @@
     version: int = 1
 
     def start(self, servers: int, listed: int | None = None) -> None:
-        standin = self.start_process(
+        standin_ports = self.start_process(
             ["-m", "tests.platform.standin", str(servers)], "standin"
         )
-        control, self.store_port, *self.server_ports = standin
+        control, self.store_port, *self.server_ports = standin_ports
         self.control = Http(control)
         self.put([("op", "config", configuration())])
         for number in range(servers if listed is None else listed):
@@ -133,12 +141,12 @@
             "retries": retries or {"ratio": 1.0, "slack": 1_500},
             "seed": 1,
         }
-        file = self.folder / f"{name}.json"
-        file.write_bytes(orjson.dumps(settings))
+        settings_file = self.folder / f"{name}.json"
+        settings_file.write_bytes(orjson.dumps(settings))
         ports = self.start_process(
             list(program),
             name,
-            COURSEKEEL_SETTINGS=str(file),
+            COURSEKEEL_SETTINGS=str(settings_file),
             COURSEKEEL_STORE_LINK=store_link,
         )
         if wait:
@@ -158,15 +166,15 @@
         )
         self.processes.append(process)
 
-        def listening() -> list[int]:
+        def printed_ports() -> list[int]:
             assert process.poll() is None, log.read_text()[-3_000:]
             for line in log.read_text().splitlines(keepends=True):
-                # Unbuffered, a line is written piece by piece.
+                # The output is unbuffered, so the last line may be incomplete.
                 if line.startswith("listening ") and line.endswith("\n"):
-                    return [int(each) for each in line.split()[1:]]
+                    return [int(port) for port in line.split()[1:]]
             return []
 
-        return list(wait_until(listening, f"{name} listens"))
+        return list(wait_until(printed_ports, f"{name} listens"))
 
     def stop(self) -> None:
         for process in self.processes:
@@ -190,10 +198,10 @@
     def log(self, name: str = "g1") -> str:
         return (self.folder / f"{name}.log").read_text()
 
-    # The platform's side.
+    # Control of the stand-in.
 
     def put(self, rows: list[tuple[str, str, Any]]) -> None:
-        self.control.ask("POST", "/rows", [list(each) for each in rows])
+        self.control.ask("POST", "/rows", [list(row) for row in rows])
 
     def put_server(
         self, number: int, state: str = "ready", version: str = "v1"
@@ -201,12 +209,12 @@
         self.put([self.server_row(number, state, version)])
 
     def order(self, pool: str, target: Any, duration_s: float) -> None:
-        """The operator orders that a version be rolled out."""
+        """Write an operator's order to roll out a version."""
         row = {"service": pool, "target-version": target, "duration-s": duration_s}
         self.put([("op", f"rollout/{pool}", row)])
 
     def rollout(self, pool: str) -> str:
-        """What operators read of a roll-out, empty if nothing yet."""
+        """Return the stored state of a pool's rollout, empty if there is none."""
         rows = self.control.get("/store")["status"]
         return str(rows.get(f"rollout/{pool}", {}).get("state", ""))
 
@@ -224,11 +232,11 @@
         return "servers", self.identity(number), row
 
     def identity(self, number: int) -> str:
-        """The id of the server's present incarnation."""
+        """Return the id of the server's current incarnation."""
         return str(self.control.get("/servers")[f"s{number}"]["identity"])
 
     def rename(self, number: int, identity: str) -> None:
-        """Another incarnation has the server's address; its row replaces the old."""
+        """Give the server a new incarnation at the same address; replace its row."""
         old = self.identity(number)
         self.control.ask("POST", f"/servers/s{number}/identity", identity)
         self.put([("servers", old, None), self.server_row(number)])
@@ -238,8 +246,8 @@
         self.put([("op", "config", configuration(self.version, **more))])
 
     def config_bytes(self) -> int:
-        """The size of an answer of the store that holds the whole configuration."""
-        return len(self._raw(self.store_port, _CONFIGURATION_CALL)[1])
+        """Return the size in bytes of a store response with the whole configuration."""
+        return len(self._raw(self.store_port, _CONFIGURATION_PATH)[1])
 
     def store(self, **state: Any) -> None:
         self.control.ask("POST", "/store", state)
@@ -252,12 +260,13 @@
             self.faults(name, **faults)
 
     def ran(self, request_id: str) -> list[dict[str, Any]]:
+        """Return the runs of a request at all servers, with the server's name."""
         servers = self.control.get("/servers")
         return [
-            each | {"server": name}
+            run | {"server": name}
             for name, state in servers.items()
-            for each in state["ran"]
-            if each["headers"]["request-id"] == request_id
+            for run in state["ran"]
+            if run["headers"]["request-id"] == request_id
         ]
 
     def open_runs(self) -> list[str]:
@@ -265,13 +274,13 @@
         return [run for state in servers.values() for run in state["open"]]
 
     def crash(self, number: int, down_s: float) -> None:
-        """The server's process ends; another incarnation is back after a while."""
+        """Crash the server; a new incarnation starts after ``down_s`` seconds."""
         self.control.ask("POST", f"/servers/s{number}/crash", {"down_s": down_s})
 
     def forget(self) -> None:
         self.control.ask("POST", "/forget", {})
 
-    # The callers' side.
+    # Requests of callers.
 
     def open(
         self,
@@ -283,12 +292,20 @@
         **headers: str,
     ) -> tuple[HTTPConnection, str]:
         connection = HTTPConnection("127.0.0.1", port or self.ports[0], timeout=20)
-        request_id = request_id or f"r{next(_IDS)}"
-        sent = {"host": HOST, "request-id": request_id, "deadline-ms": "5000"}
+        request_id = request_id or f"r{next(_REQUEST_NUMBERS)}"
+        request_headers = {
+            "host": HOST,
+            "request-id": request_id,
+            "deadline-ms": "5000",
+        }
         if key:
-            sent["authorization"] = f"Bearer {key}"
-        sent |= {name.replace("_", "-"): value for name, value in headers.items()}
-        connection.request("POST" if body else "GET", path, body or None, sent)
+            request_headers["authorization"] = f"Bearer {key}"
+        request_headers |= {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
+        connection.request(
+            "POST" if body else "GET", path, body or None, request_headers
+        )
         return connection, request_id
 
     def ask(self, path: str, body: bytes = b"", **more: Any) -> Answer:
@@ -297,13 +314,14 @@
 
 
 def free_port(host: str = "127.0.0.1") -> int:
-    """A port of a loopback address that nothing listens at."""
-    with socket.socket() as probe:
-        probe.bind((host, 0))
-        return int(probe.getsockname()[1])
+    """Return a port of a loopback address on which nothing listens."""
+    with socket.socket() as listener:
+        listener.bind((host, 0))
+        return int(listener.getsockname()[1])
 
 
 def read(connection: HTTPConnection) -> Answer:
+    """Read the response, even if it is cut off, and close the connection."""
     response = connection.getresponse()
     headers = {name.lower(): value for name, value in response.getheaders()}
     try:
@@ -315,6 +333,7 @@
 
 
 def events(upto: int, start: int = 1) -> bytes:
+    """Return the stand-in's stream events ``start`` to ``upto``."""
     return b"".join(
         b"id: %d\ndata: piece-%d\n\n" % (number, number)
         for number in range(start, upto + 1)
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -1,9 +1,9 @@
-"""A small stand-in of the users' platform: its store and its servers, one process.
+"""A small stand-in of the platform: its store and its servers in one process.
 
-The store names its era in every answer, and comes back from an older copy on order.
+The store sends its era in every response and can be restored from an older copy.
 
 `python -m tests.platform.standin SERVERS` prints the ports of its control site, its
-store and its servers. Faults are set over the control site; what ran is read there.
+store and its servers. The control site sets faults and lists the runs of each server.
 """
 
 import sys
@@ -24,36 +24,35 @@
 from twisted.web.server import Site  # noqa: E402
 
 _EVENT_GAP_S = 0.02
-# A paced answer goes out in pieces, one in so long.
-_PIECE_S = 0.05
-# How long a request that ends its server has been running by then, and how long the
-# server stays away, unless the fault says otherwise.
-_CRASHING_S = 0.06
+# Interval between the pieces of a response at limited bandwidth.
+_PIECE_INTERVAL_S = 0.05
+# Time from the start of a crashing request to the crash, and from the crash to the
+# restart, unless the fault sets another.
+_CRASH_DELAY_S = 0.06
 _DOWN_S = 1.0
 
 
 class Store:
-    """Tables of rows with one rising version; the history may be forgotten."""
+    """Tables of rows with one rising version; the history can be compacted."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], dict[str, Any]] = {}
         self.version = 1
         self.era = 1
-        # What a restore brings back: the rows and the version of a moment.
+        # The rows and the version that a restore brings back.
         self.copy: tuple[dict[tuple[str, str], dict[str, Any]], int] = ({}, 1)
-        # What an answer names as its era in place of the true one; empty for none.
+        # The era sent in responses: None for the true one, empty for no header.
         self.era_told: str | None = None
         self.oldest = 0
-        # How often a server writes that it lives, which raises the version and changes
-        # no row.
+        # Rate of heartbeat writes; each raises the version and changes no row.
         self.beats_per_s = 0.0
         self.fault = ""
         self.calls = 0
-        # How much of an answer goes out in a second; 0 for all at once. ``stalls_at``:
-        # no more than so much of an answer ever comes.
+        # Bandwidth of the store's responses, 0 for no limit. With a limit, a response
+        # stalls for good before it exceeds ``stalls_at`` bytes, 0 for never.
         self.bytes_per_s = 0
         self.stalls_at = 0
-        # Whether the servers' answers come over the same link, behind the store's.
+        # Whether the servers' responses queue behind those of the store on one link.
         self.shares_link = False
         self.sending = 0
         self.cut = 0
@@ -71,7 +70,7 @@
         self.rows[table, key] = row | {"ver": self.version}
 
     def beat(self) -> None:
-        """A server writes that it lives, and so on from now."""
+        """Write a heartbeat and schedule the next."""
         if self.beats_per_s:
             self.version += 1
             reactor.callLater(1 / self.beats_per_s, self.beat)
@@ -80,9 +79,9 @@
         self.copy = (dict(self.rows), self.version)
 
     def restore(self, again_s: float | None = None) -> None:
-        """Come back from the copy; questions that were held are cut.
+        """Restore the copy, raise the era and abort the waiting requests.
 
-        After ``again_s`` the operator and the servers have written again.
+        After ``again_s`` seconds the operator and the servers rewrite the lost rows.
         """
         lost = dict(self.rows)
         rows, self.version = self.copy
@@ -91,21 +90,21 @@
         if again_s is not None:
             reactor.callLater(again_s, self._write_again, lost, self.version)
         waiting, self.waiting = self.waiting, []
-        for *_, held in waiting:
-            held.errback(ConnectionAborted())
+        for *_, response in waiting:
+            response.errback(ConnectionAborted())
 
     def _write_again(
-        self, lost: dict[tuple[str, str], dict[str, Any]], copied: int
+        self, lost: dict[tuple[str, str], dict[str, Any]], copy_version: int
     ) -> None:
-        """What was written since the copy is newer than what was lost, and stays."""
+        """Write the lost rows again, except those written since the restore."""
         for table in ("op", "servers"):
-            theirs = {key for name, key in {**self.rows, **lost} if name == table}
-            for key in sorted(theirs):
-                if self.rows.get((table, key), {}).get("ver", 0) > copied:
+            keys = {key for name, key in {**self.rows, **lost} if name == table}
+            for key in sorted(keys):
+                if self.rows.get((table, key), {}).get("ver", 0) > copy_version:
                     continue
-                was = lost.get((table, key), {}).get("value")
-                if self.rows.get((table, key), {}).get("value") != was:
-                    self.put_encoded(table, key, was)
+                lost_value = lost.get((table, key), {}).get("value")
+                if self.rows.get((table, key), {}).get("value") != lost_value:
+                    self.put_encoded(table, key, lost_value)
             self.wake(table)
 
     def of(self, table: str) -> list[dict[str, Any]]:
@@ -173,12 +172,12 @@
                 return b"{}"
             if any(r["ver"] > since for (t, _), r in self.rows.items() if t == table):
                 return self._send(request, self.changes(table, since))
-            held: Deferred[bytes] = Deferred()
-            waiter = (table, since, held)
+            response: Deferred[bytes] = Deferred()
+            waiter = (table, since, response)
             self.waiting.append(waiter)
             wait_s = int(request.args[b"wait-ms"][0]) / 1000
             reactor.callLater(wait_s, self._wait_over, waiter)
-            return held.addCallbacks(
+            return response.addCallbacks(
                 lambda body: self._send(request, body), lambda _: self._cut(request)
             )
 
@@ -189,16 +188,16 @@
         return Deferred()
 
     def _unmet(self, expected: list[dict[str, Any]]) -> bytes | None:
-        """The rows as they are where one isn't as a condition says; else None."""
-        rows = [self.rows.get((each["table"], each["key"])) for each in expected]
-        present = [None if each is None or "gone" in each else each for each in rows]
-        versions = [each["ver"] if each else 0 for each in present]
-        if versions == [each["ver"] for each in expected]:
+        """Return the current rows if a version differs from ``expected``, else None."""
+        rows = [self.rows.get((cond["table"], cond["key"])) for cond in expected]
+        present = [None if row is None or "gone" in row else row for row in rows]
+        versions = [row["ver"] if row else 0 for row in present]
+        if versions == [cond["ver"] for cond in expected]:
             return None
-        return self._answer([each for each in present if each])
+        return self._answer([row for row in present if row])
 
     def _send(self, request: Any, body: bytes) -> Any:
-        """Give an answer at the pace of the link."""
+        """Send a response at the bandwidth of the link."""
         if not self.bytes_per_s:
             return body
         request.setHeader("content-length", str(len(body)))
@@ -211,14 +210,14 @@
     def _send_piece(
         self, request: Any, body: bytes, start: int, last: "Deferred[bytes]"
     ) -> None:
-        end = start + int(self.bytes_per_s * _PIECE_S)
+        end = start + int(self.bytes_per_s * _PIECE_INTERVAL_S)
         if request._disconnected or (self.stalls_at and end > self.stalls_at):
             return
         if end >= len(body):
             last.callback(body[start:])
             return
         request.write(body[start:end])
-        reactor.callLater(_PIECE_S, self._send_piece, request, body, end, last)
+        reactor.callLater(_PIECE_INTERVAL_S, self._send_piece, request, body, end, last)
 
     def _sent(self, failure: Any) -> None:
         self.sending -= 1
@@ -226,7 +225,7 @@
 
     @property
     def fills_link(self) -> bool:
-        """Say whether what the servers send now waits behind an answer."""
+        """Whether the servers' output waits for a store response on the shared link."""
         return self.shares_link and self.sending > 0
 
     def _wait_over(self, waiter: tuple[str, int, "Deferred[bytes]"]) -> None:
@@ -236,9 +235,9 @@
 
     def _faulted(self, request: Any) -> Any:
         self.calls += 1
-        told = str(self.era) if self.era_told is None else self.era_told
-        if told:
-            request.setHeader("store-era", told)
+        era = str(self.era) if self.era_told is None else self.era_told
+        if era:
+            request.setHeader("store-era", era)
         if self.fault.isdigit():
             request.setResponseCode(int(self.fault))
             return b"{}"
@@ -254,11 +253,11 @@
 
 
 class Server:
-    """One server: whole answers, or streams of numbered events, and copies."""
+    """One server: unary responses, streams of numbered events, and KV copies."""
 
     def __init__(self, name: str, store: Store) -> None:
         self.name = self.first_name = name
-        self.lives = 1
+        self.incarnation = 1
         self.port = 0
         self.calls: set[Any] = set()
         self.listener: Any = None
@@ -273,23 +272,23 @@
         self.app = self._routes()
 
     def listen(self) -> int:
-        """Take connections, at the same port in every life."""
+        """Listen, at the same port in every incarnation."""
         site = Site(self.app.resource())
         self.listener = reactor.listenTCP(self.port, site, interface="127.0.0.1")
         self.port = self.listener.getHost().port
         return self.port
 
     def crash(self, down_s: float = _DOWN_S) -> None:
-        """End as a process does: every call's connection is reset, the port refuses.
+        """Reset every connection and refuse new ones, as a crashed process does.
 
-        Back after ``down_s`` as another incarnation, which the list names then.
+        After ``down_s`` seconds a new incarnation starts and replaces the row.
         """
         if self.listener is None:
             return
         self.listener.stopListening()
         self.listener = None
-        for each in list(self.calls):
-            each.transport.abortConnection()
+        for request in list(self.calls):
+            request.transport.abortConnection()
         self.open.clear()
         self.copies.clear()
         reactor.callLater(down_s, self._restart)
@@ -300,13 +299,13 @@
         self.crash(down_s)
 
     def _restart(self) -> None:
-        before = self.name
-        self.lives += 1
-        self.name = f"{self.first_name}-{self.lives}"
+        old_name = self.name
+        self.incarnation += 1
+        self.name = f"{self.first_name}-{self.incarnation}"
         self.listen()
-        value = self.store.rows.get(("servers", before), {}).get("value")
+        value = self.store.rows.get(("servers", old_name), {}).get("value")
         if value is not None:
-            self.store.put("servers", before, None)
+            self.store.put("servers", old_name, None)
             self.store.put_encoded("servers", self.name, value)
             self.store.wake("servers")
 
@@ -318,8 +317,8 @@
             if self.faults.get("dark"):
                 return Deferred()
             if self.store.fills_link:
-                return deferLater(reactor, _PIECE_S, report, request)
-            runs = [[each, 10, 1, 5] for each in self.open]
+                return deferLater(reactor, _PIECE_INTERVAL_S, report, request)
+            runs = [[run_id, 10, 1, 5] for run_id in self.open]
             return orjson.dumps(
                 {
                     "queued": 0,
@@ -340,16 +339,16 @@
         if request.getHeader("expect-instance") != self.name:
             request.setResponseCode(421)
             return b""
-        if self._take("shed"):
+        if self._use_fault("shed"):
             request.setResponseCode(503)
             request.setHeader("not-executed", "1")
             return b""
-        seen = {
+        headers = {
             name.decode().lower(): values[0].decode()
             for name, values in request.requestHeaders.getAllRawHeaders()
         }
-        run_id = seen["request-id"]
-        if "kv-from" in seen and run_id not in self.copies:
+        run_id = headers["request-id"]
+        if "kv-from" in headers and run_id not in self.copies:
             request.setResponseCode(503)
             request.setHeader("not-executed", "1")
             return b""
@@ -357,7 +356,7 @@
         self.ran.append(
             {
                 "path": request.uri.decode(),
-                "headers": seen,
+                "headers": headers,
                 "body": body,
                 "by": self.name,
                 "at_s": time.monotonic(),
@@ -365,36 +364,36 @@
         )
         self.calls.add(request)
         request.notifyFinish().addBoth(lambda _: self.calls.discard(request))
-        if self._take("mute") or self.faults.get("dark"):
+        if self._use_fault("mute") or self.faults.get("dark"):
             return self._until_closed(request)
-        if self._take("hang"):
+        if self._use_fault("hang"):
             return Deferred()
-        if self._take("reset"):
+        if self._use_fault("reset"):
             request.transport.abortConnection()
             return Deferred()
         if self._is_crashed_by(path, body):
             return self._crash_soon(request, run_id, path)
-        answered = "f" * 16 if self._take("foreign") else run_id
-        request.setHeader("request-id", answered)
+        response_id = "f" * 16 if self._use_fault("foreign") else run_id
+        request.setHeader("request-id", response_id)
         request.setHeader("response-signature", f"sig-{self.name}")
         if path.startswith("stream"):
-            return self._stream(request, seen, int(path.rpartition("/")[2]))
+            return self._stream(request, headers, int(path.rpartition("/")[2]))
         return self._whole(request, run_id)
 
     def _whole(self, request: Any, run_id: str) -> Any:
-        if self._take("unsigned"):
+        if self._use_fault("unsigned"):
             request.responseHeaders.removeHeader(b"response-signature")
-        if self._take("fail"):
+        if self._use_fault("fail"):
             request.setResponseCode(500)
             return b"failed"
         body = f"{self.name} {run_id}".encode()
         body += b"x" * self.faults.get("more_bytes", 0)
-        if self._take("torn"):
+        if self._use_fault("torn"):
             request.setHeader("content-length", str(len(body) + 5))
             request.write(body)
             request.transport.loseConnection()
             return Deferred()
-        if self._take("unframed_reset") or self.faults.get("unframed"):
+        if self._use_fault("unframed_reset") or self.faults.get("unframed"):
             request.clientproto = b"HTTP/1.0"
             request.write(body)
             if self.faults.get("unframed"):
@@ -405,21 +404,23 @@
         delay_s = self.faults.get("delay_ms", 0) / 1000
         return deferLater(reactor, delay_s, lambda: body)
 
-    def _stream(self, request: Any, seen: dict[str, str], last: int) -> Any:
-        run_id = seen["request-id"]
+    def _stream(self, request: Any, headers: dict[str, str], last: int) -> Any:
+        run_id = headers["request-id"]
         self.open[run_id] = request
-        if "kv-backup" in seen:
-            self.peers[seen["kv-backup"]].copies.add(run_id)
+        if "kv-backup" in headers:
+            self.peers[headers["kv-backup"]].copies.add(run_id)
         request.setHeader("content-type", "text/event-stream")
         request.notifyFinish().addErrback(lambda _: self.open.pop(run_id, None))
-        self._event(request, run_id, int(seen.get("last-event-id", 0)) + 1, last)
+        self._event(request, run_id, int(headers.get("last-event-id", 0)) + 1, last)
         return Deferred()
 
     def _event(self, request: Any, run_id: str, number: int, last: int) -> None:
         if run_id not in self.open or self.faults.get("dark"):
             return
         if self.store.fills_link:
-            reactor.callLater(_PIECE_S, self._event, request, run_id, number, last)
+            reactor.callLater(
+                _PIECE_INTERVAL_S, self._event, request, run_id, number, last
+            )
             return
         if number > last:
             del self.open[run_id]
@@ -444,12 +445,12 @@
         return bool(text) and (text in body or text in path)
 
     def _crash_soon(self, request: Any, run_id: str, path: str) -> Any:
-        """The request begins to run, a stream's head goes out, and the server ends.
+        """Start the request and crash the server shortly after.
 
-        A stream may give ``crash_events`` before.
+        A stream sends its headers and ``crash_events`` events before the crash.
         """
         down_s = self.faults.get("down_s", _DOWN_S)
-        reactor.callLater(_CRASHING_S, self._crash_by, path, down_s)
+        reactor.callLater(_CRASH_DELAY_S, self._crash_by, path, down_s)
         if path.startswith("stream"):
             request.setHeader("request-id", run_id)
             request.setHeader("response-signature", f"sig-{self.name}")
@@ -466,8 +467,8 @@
         request.notifyFinish().addErrback(lambda _: self.open.pop(run_id, None))
         return Deferred()
 
-    def _take(self, fault: str) -> bool:
-        """Use up one of a fault's times."""
+    def _use_fault(self, fault: str) -> bool:
+        """Use up one occurrence of a fault; return False if none is left."""
         if self.faults.get(fault, 0) <= 0:
             return False
         self.faults[fault] -= 1
@@ -491,7 +492,7 @@
     def fault(request: Any) -> bytes:
         body = orjson.loads(request.content.read())
         if body.pop("open_silent", False):
-            # What is open is never answered; new connections work.
+            # Waiting requests never get a response; new ones do.
             store.waiting.clear()
         if body.pop("copy", False):
             store.take_copy()
@@ -512,14 +513,19 @@
 
     @app.route("/store", methods=["GET"])
     def state(request: Any) -> bytes:
-        kept = [r["key"] for r in store.of("suspects") if "value" in r]
-        told = {"calls": store.calls, "cut": store.cut, "kept": kept, "era": store.era}
-        told["status"] = {
+        suspect_keys = [r["key"] for r in store.of("suspects") if "value" in r]
+        counters = {
+            "calls": store.calls,
+            "cut": store.cut,
+            "kept": suspect_keys,
+            "era": store.era,
+        }
+        counters["status"] = {
             row["key"]: orjson.loads(b64decode(row["value"]))
             for row in store.of("status")
             if "value" in row
         }
-        return orjson.dumps(told)
+        return orjson.dumps(counters)
 
     @app.route("/servers/<name>", methods=["POST"])
     def server_faults(request: Any, name: str) -> bytes:
@@ -538,30 +544,30 @@
 
     @app.route("/servers", methods=["GET"])
     def ran(request: Any) -> bytes:
-        told = {
+        states = {
             name: {
-                "identity": each.name,
-                "ran": each.ran,
-                "crashed": each.crashed,
-                "open": list(each.open),
-                "crashes": each.lives - (each.listener is not None),
+                "identity": server.name,
+                "ran": server.ran,
+                "crashed": server.crashed,
+                "open": list(server.open),
+                "crashes": server.incarnation - (server.listener is not None),
             }
-            for name, each in servers.items()
+            for name, server in servers.items()
         }
-        return orjson.dumps(told)
+        return orjson.dumps(states)
 
     @app.route("/forget", methods=["POST"])
     def forget(request: Any) -> bytes:
-        for each in servers.values():
-            each.ran.clear()
-            each.faults.clear()
+        for server in servers.values():
+            server.ran.clear()
+            server.faults.clear()
         return b"{}"
 
     return app
 
 
 def main() -> None:
-    """Serve until the process is ended."""
+    """Start the stand-in and run until the process is killed."""
     store = Store()
     names = [f"s{number}" for number in range(int(sys.argv[1]))]
     servers = {name: Server(name, store) for name in names}
@@ -574,7 +580,7 @@
         ports.append(server.listen())
         server.address = f"127.0.0.1:{server.port}"
     for server in servers.values():
-        server.peers = {each.address: each for each in servers.values()}
+        server.peers = {peer.address: peer for peer in servers.values()}
     print("listening", *ports, flush=True)
     reactor.run()
 
