--- a/src/coursekeel/entry/answers/_answer_task.py
+++ b/src/coursekeel/entry/answers/_answer_task.py
@@ -67,12 +67,12 @@
 # shortest silence that marks an endpoint as stalled (`silence_floor_ms`).
 _OWN_PAUSE_MS = 250.0
 _REFUSAL_MESSAGES = {
-    "interrupted": "no endpoint could continue the answer in time",
-    "request_stops_engines": "engines crashed while they ran this request",
-    "too_late": "the request can't be served before its deadline",
-    "queue_full": "too many requests are waiting",
-    "no_endpoint": "no endpoint currently serves this model",
-    "cancelled": "the answer was cancelled",
+    "interrupted": "no endpoint could go on with the answer in time",
+    "request_stops_engines": "engines died while they ran this request",
+    "too_late": "the request can't be served in its time",
+    "queue_full": "too many requests wait",
+    "no_endpoint": "no endpoint serves this model now",
+    "cancelled": "the answer was given up",
 }
 
 
--- a/src/coursekeel/entry/answers/_reader.py
+++ b/src/coursekeel/entry/answers/_reader.py
@@ -226,7 +226,7 @@
     def _refuse_unreachable(self) -> None:
         refusal = Refusal(
             "answer_unreachable",
-            "neither the answer's owner nor the store can be reached",
+            "the answer's owner and the store can't be reached now",
             RunState.UNKNOWN,
             2_000,
         )
--- a/src/coursekeel/entry/http/_api.py
+++ b/src/coursekeel/entry/http/_api.py
@@ -131,7 +131,7 @@
             return None
         refusal = self._make_refusal(
             "request_stops_engines",
-            "endpoints crashed while they ran this request",
+            "endpoints ended under this request",
             generation.keyed,
         )
         return evolve(refusal, retry_after_ms=math.ceil(barred_ms))
@@ -148,9 +148,7 @@
             text = f"team {team.name} has {len(open_tasks)} open answers, its limit"
             return self._make_refusal("too_many_open", text, generation.keyed)
         if not self.registry.has_room(generation):
-            text = (
-                "the store is unavailable and the limit of unstored requests is reached"
-            )
+            text = "the store is out and no more requests can be kept for it"
             return self._make_refusal("store_unavailable", text, generation.keyed)
         return None
 
@@ -174,7 +172,7 @@
         stored = await self.registry.wait_until_stored(task)
         if not stored:
             self.registry.give_up(task)
-            text = "the request can't be stored now"
+            text = "the store can't take the request now"
             refusal = Refusal(
                 "store_unavailable", text, RunState.UNKNOWN, _RETRY_AFTER_MS
             )
--- a/src/coursekeel/entry/http/_calls.py
+++ b/src/coursekeel/entry/http/_calls.py
@@ -18,14 +18,14 @@
 __all__ = ["ServiceApi"]
 
 _CALL_MESSAGES = {
-    "in_progress": "a call with this key is in progress, or its entry crashed",
+    "in_progress": "a call with this key is under way, or its entry died in it",
     "key_reused": "this key was used for another call",
     "refused_before": "a call with this key was refused; use a new key",
     "answer_lost": "the call was sent and its answer was lost",
-    "store_unavailable": "the store is unavailable, so the key can't be checked",
-    "claim_unsure": "it can't be determined now whether the key is new",
+    "store_unavailable": "the store can't be asked whether the key is new",
+    "claim_unsure": "whether the key is new can't be settled now",
     "no_endpoint": "no endpoint of the service takes calls now",
-    "request_stops_engines": "endpoints crashed while they ran this call",
+    "request_stops_engines": "endpoints ended under this call",
 }
 
 
--- a/src/coursekeel/entry/http/_event_sinks.py
+++ b/src/coursekeel/entry/http/_event_sinks.py
@@ -242,7 +242,7 @@
             self.refuse(
                 Refusal(
                     "moved",
-                    "another entry owns the answer now; ask again",
+                    "ask again",
                     RunState.UNKNOWN,
                     500,
                 )
--- a/src/coursekeel/entry/http/_operator.py
+++ b/src/coursekeel/entry/http/_operator.py
@@ -56,7 +56,7 @@
             text = "the bearer key belongs to no operator"
             return refuse(request, not_run("bad_key", text))
         if confirms and not operator.may_confirm:
-            text = f"operator {operator.name} may read but not confirm"
+            text = f"operator {operator.name} may look but not confirm"
             return refuse(request, not_run("forbidden", text))
         return operator
 
@@ -172,7 +172,7 @@
 
 def _store_refusal(outcome: StoreUnavailable) -> Refusal:
     if not outcome.unsure:
-        text = f"the store is unavailable: {outcome.reason}"
+        text = f"the store can't be asked: {outcome.reason}"
         return not_run("store_unavailable", text, _RETRY_AFTER_MS)
     text = (
         "the store didn't say whether the plan took effect; confirm the same plan "
--- a/src/coursekeel/gateway/_gauges.py
+++ b/src/coursekeel/gateway/_gauges.py
@@ -30,37 +30,37 @@
     )
     gauge(
         "coursekeel_member_reads",
-        "Responses with table data received from other members so far",
+        "Readings that members of the group gave so far",
         lambda: group.source.relayed,
     )
     gauge(
         "coursekeel_answers_cut",
-        "Responses of the store or a member abandoned during the transfer",
+        "Answers of the store or a member given up while they were coming",
         lambda: group.source.answers_cut,
     )
     gauge(
         "coursekeel_store_restores",
-        "Times that the store was restored from an older copy",
+        "Times that the store came back from an older copy",
         lambda: configuration_task.restores,
     )
     gauge(
         "coursekeel_members",
-        "Members of the group that are alive and not suspected",
+        "Members of the group that nothing speaks against",
         lambda: len(group.swim.alive()),
     )
     gauge(
         "coursekeel_suspect_requests",
-        "Requests recorded as suspects after crashes of endpoints",
+        "Requests that are remembered because endpoints ended under them",
         lambda: len(group.quarantine),
     )
     gauge(
         "coursekeel_barred_requests",
-        "Requests that are barred because they crash endpoints",
+        "Requests that are barred because they end endpoints",
         lambda: group.quarantine.barred,
     )
     gauge(
         "coursekeel_waiting",
-        "Requests that wait for an endpoint",
+        "Requests that wait",
         lambda: router.waiting,
     )
     gauge(
@@ -70,16 +70,16 @@
     )
     gauge(
         "coursekeel_belief_age_seconds",
-        "Age of the cached routes and keys since their last confirmation",
+        "Age of what is known of routes and keys",
         lambda: site.routes_age_ms / MS_PER_SECOND,
     )
     gauge(
         "coursekeel_held_requests",
-        "Requests that wait for the first read of routes and endpoints",
+        "Requests that wait for the first routes and endpoints",
         lambda: len(start_hold),
     )
     gauge(
         "coursekeel_open_requests",
-        "Requests in progress",
+        "Requests at work",
         lambda: dispatcher.open_requests,
     )
--- a/src/coursekeel/intents/_store.py
+++ b/src/coursekeel/intents/_store.py
@@ -83,7 +83,7 @@
         outcome = await self.platform.transact(write)
         if isinstance(outcome, Committed):
             return outcome
-        return StoreUnavailable(False, "the plan could not be stored; plan again")
+        return StoreUnavailable(False, "the plan could not be kept; plan again")
 
     async def confirm(
         self, plan_id: str
@@ -123,7 +123,7 @@
                 return Confirmed(configuration.revision)
             case Conflict():
                 return await self._read_outcome(
-                    plan.plan_id, "a concurrent write conflicted"
+                    plan.plan_id, "lost a race, and the store then"
                 )
             case Unavailable():
                 return StoreUnavailable(False, outcome.reason)
--- a/src/coursekeel/observe/_metrics.py
+++ b/src/coursekeel/observe/_metrics.py
@@ -27,19 +27,19 @@
         self._gauges: list[tuple[Gauge, Callable[[], float]]] = []
         self.first_token_s = self._histogram(
             "coursekeel_first_token_seconds",
-            "Time from a request's arrival to its first token",
+            "From a request's arrival to its first token",
         )
         self.token_gap_s = self._histogram(
             "coursekeel_token_gap_seconds",
-            "Time between two tokens; 1 in 64 sampled",
+            "Between tokens, sampled once in 64",
         )
         self.resume_s = self._histogram(
             "coursekeel_resume_seconds",
-            "Time from the last token before a lost run to the next token",
+            "From an answer's last token to its next, over a loss",
         )
         self.call_s = self._histogram(
             "coursekeel_call_seconds",
-            "Time from the arrival of a call to a plain service to its reply",
+            "A call to a plain service, from arrival to reply",
         )
         self.requests = self._counter(
             "coursekeel_requests_total", "Requests by team, class and outcome"
@@ -49,14 +49,14 @@
         )
         self.extra_tokens = self._counter(
             "coursekeel_extra_tokens_total",
-            "Extra use: tokens that were discarded or prefilled again",
+            "Extra use: tokens made and thrown away, or prefilled again",
         )
         self.attempts = self._counter(
-            "coursekeel_attempts_total", "Runs requested from endpoints, by way"
+            "coursekeel_attempts_total", "Runs asked of endpoints, by way"
         )
-        processor = "Processor time used by this process"
+        processor = "Processor time of this process"
         self.gauge("coursekeel_processor_seconds", processor, _processor_s)
-        memory = "Peak resident memory of this process"
+        memory = "Resident memory of this process at its largest"
         self.gauge("coursekeel_memory_bytes", memory, _memory_bytes)
 
     def _histogram(self, name: str, doc: str) -> Histogram:
