--- a/src/coursekeel/gateway/_gateway.py
+++ b/src/coursekeel/gateway/_gateway.py
@@ -41,7 +41,7 @@
 from coursekeel.gateway.endpoints._endpoint_health import EndpointHealth
 from coursekeel.gateway.endpoints._load_reports import LoadReports
 from coursekeel.gateway.members._group import Group
-from coursekeel.gateway.rollouts._rollout_task import RolloutTask, report_period_ms
+from coursekeel.gateway.rollouts._rollout_task import CanaryTask, report_period_ms
 from coursekeel.gateway.rollouts._version_choice import VersionChoice
 from coursekeel.gateway.site._follow_task import FollowedTable, TableWatchTask
 from coursekeel.gateway.site._site_state import SiteState
@@ -96,7 +96,7 @@
     _suspect_keeper: SuspectKeeper = field(init=False)
     _site: SiteState = field(init=False)
     _start_hold: StartHold = field(factory=StartHold)
-    _rollouts: RolloutTask = field(init=False)
+    _rollouts: CanaryTask = field(init=False)
     _metrics: GatewayMetrics = field(init=False)
     _dispatcher: Dispatcher = field(init=False)
     _follow_tasks: list[TableWatchTask] = field(init=False)
@@ -150,7 +150,7 @@
             rollouts,
             lambda: self._rollouts.ordered(),
         )
-        self._rollouts = RolloutTask(
+        self._rollouts = CanaryTask(
             self.reactor,
             self.clock,
             self._group.swim,
--- a/src/coursekeel/gateway/rollouts/_rollout_task.py
+++ b/src/coursekeel/gateway/rollouts/_rollout_task.py
@@ -37,7 +37,7 @@
 from coursekeel.routing import Router
 from coursekeel.runtime import Clock, Periodic, spawn
 
-__all__ = ["RolloutTask", "report_period_ms"]
+__all__ = ["CanaryTask", "report_period_ms"]
 
 _SendDatagram = Callable[[str, bytes], None]
 
@@ -72,7 +72,7 @@
 
 
 @define(eq=False)
-class RolloutTask:
+class CanaryTask:
     """One instance's part in all roll-outs; ``send`` sends a datagram to a member."""
 
     reactor: Reactor
--- a/tests/cover/test_rollout_fleet.py
+++ b/tests/cover/test_rollout_fleet.py
@@ -1,6 +1,6 @@
 """A fleet's roll-out keeps its bounds while messages are lost and instances fail.
 
-Each instance is a `RolloutTask` on one simulated clock; datagrams are lost at random,
+Each instance is a `CanaryTask` on one simulated clock; datagrams are lost at random,
 an instance freezes, the leading conductor is killed, one starts midway, and the store
 may be down. Requests are sent to random instances.
 """
@@ -25,7 +25,7 @@
     decode_rollout,
 )
 from coursekeel.forwarding import EndpointRecord
-from coursekeel.gateway.rollouts._rollout_task import RolloutTask, report_period_ms
+from coursekeel.gateway.rollouts._rollout_task import CanaryTask, report_period_ms
 from tests.common.moments import position_at
 
 BOUNDS = CanaryBounds()
@@ -70,7 +70,7 @@
         swim.others = lambda: [member for member in fleet.members() if member != name]
         self.site = Mock(update_routing=self.split)
         router = Mock(load=lambda _: None)
-        self.task = RolloutTask(
+        self.task = CanaryTask(
             fleet.reactor,
             clock,
             swim,
